--- a/bvcommand/route.go
+++ b/bvcommand/route.go
@@ -61,9 +61,9 @@
 	defer output.Close()
 	log := bvlog.New(output)
 	router, err := bvrouter.New(settings, bvrouter.Parts{
-		Platform: &platform.Store{Address: settings.StoreAddress},
-		Wire:     platform.Wire{},
-		Ready:    platform.ReadyHandler,
+		Platform:     &platform.Store{Address: settings.StoreAddress},
+		Wire:         platform.Wire{},
+		ReadyHandler: platform.ReadyHandler,
 	}, log)
 	if err != nil {
 		return err
--- a/bvdemo/route.go
+++ b/bvdemo/route.go
@@ -102,9 +102,9 @@
 	log := logrus.New()
 	log.SetLevel(logrus.ErrorLevel)
 	router, err := bvrouter.New(settings, bvrouter.Parts{
-		Platform: &platform.Store{Address: settings.StoreAddress},
-		Wire:     platform.Wire{},
-		Ready:    platform.ReadyHandler,
+		Platform:     &platform.Store{Address: settings.StoreAddress},
+		Wire:         platform.Wire{},
+		ReadyHandler: platform.ReadyHandler,
 	}, log)
 	if err != nil {
 		return err
@@ -117,7 +117,7 @@
 func (running *routeHosts) waitReady(ctx context.Context) error {
 	return waitUntil(ctx, func() bool {
 		return !slices.ContainsFunc(running.routers, func(router *bvrouter.Router) bool {
-			return !router.Ready() || router.Hosts() < hosts-1
+			return !router.Ready() || router.PeerCount() < hosts-1
 		})
 	})
 }
--- a/bvforward/send.go
+++ b/bvforward/send.go
@@ -187,8 +187,8 @@
 	}
 }
 
-// Ended reports whether the body was read to its end.
-func (response *Response) Ended() bool { return response.whole.ended }
+// IsFullyRead reports whether the body was read to its end.
+func (response *Response) IsFullyRead() bool { return response.whole.ended }
 
 // Close keeps the connection for the next request if the answer was read whole
 // and nothing follows it; otherwise it ends the connection.
--- a/bvfront/front.go
+++ b/bvfront/front.go
@@ -42,9 +42,9 @@
 	// empty name only removes what the caller sent.
 	SetWorkspace(header http.Header, name string)
 	PrepareCall(header http.Header, endpoint string, left bvclock.Duration)
-	// Protected reports whether a header concerns more than one connection,
+	// IsProtected reports whether a header concerns more than one connection,
 	// whatever the Connection header says.
-	Protected(name string) bool
+	IsProtected(name string) bool
 	SetUrgency(header http.Header, urgency int)
 	PrepareAnswer(header http.Header)
 	SetID(header http.Header, id string)
--- a/bvfront/relay.go
+++ b/bvfront/relay.go
@@ -56,7 +56,7 @@
 		count, err := io.ReadFull(response.Body, first[len(first):len(first)+int(chunk)])
 		first = first[:len(first)+count]
 		switch {
-		case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF) && response.Ended():
+		case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF) && response.IsFullyRead():
 			return first, true, nil
 		case err != nil:
 			return nil, false, err
@@ -102,7 +102,7 @@
 	for name, values := range response.Header {
 		header[name] = values
 	}
-	bvforward.DropHopByHop(header, connectionNames(response.Header), call.front.parts.Wire.Protected)
+	bvforward.DropHopByHop(header, connectionNames(response.Header), call.front.parts.Wire.IsProtected)
 	call.front.parts.Wire.PrepareAnswer(header)
 	call.front.closing(header)
 	if length >= 0 {
--- a/bvfront/send.go
+++ b/bvfront/send.go
@@ -168,7 +168,7 @@
 
 func (call *call) outgoing(endpoint bvplatform.Endpoint) *bvforward.Request {
 	header := call.request.Header
-	bvforward.DropHopByHop(header, connectionNames(header), call.front.parts.Wire.Protected)
+	bvforward.DropHopByHop(header, connectionNames(header), call.front.parts.Wire.IsProtected)
 	call.front.parts.Wire.PrepareCall(header, endpoint.Name, call.left())
 	if call.keyed {
 		call.front.parts.Wire.SetWorkspace(header, call.workspaceName())
--- a/bvrouter/endpoint_follow.go
+++ b/bvrouter/endpoint_follow.go
@@ -160,7 +160,7 @@
 // askPart asks the store for a part of the list, or all of a short one.
 func (router *Router) askPart(ctx context.Context) (endpointAnswer, error) {
 	asked := router.clock.Now()
-	changes, err := router.store.SomeEndpoints(ctx, directEndpoints)
+	changes, err := router.store.FirstEndpoints(ctx, directEndpoints)
 	if changes.Next != 0 {
 		router.partAsOf = asked
 	}
--- a/bvrouter/hosts.go
+++ b/bvrouter/hosts.go
@@ -111,7 +111,7 @@
 
 // noteReads logs when this host begins or ends to read for others.
 func (router *Router) noteReads() {
-	reads := router.Reads()
+	reads := router.IsReader()
 	if reads != router.reading {
 		router.reading = reads
 		router.log.WithFields(logrus.Fields{"reads": reads, "hosts": len(router.hosts.Load().hosts)}).
--- a/bvrouter/metrics.go
+++ b/bvrouter/metrics.go
@@ -21,10 +21,10 @@
 		router.counters.Set("desired_state_version", table.Version())
 	}
 	router.counters.Set("store_reachable", asGauge(router.store.up()))
-	router.counters.Set("hosts_heard", int64(router.Hosts()))
-	router.counters.Set("reads_for_others", asGauge(router.Reads()))
+	router.counters.Set("hosts_heard", int64(router.PeerCount()))
+	router.counters.Set("reads_for_others", asGauge(router.IsReader()))
 	router.counters.Set("endpoints_age_ms", int64(router.endpointsAge()))
-	router.counters.Set("endpoints", int64(router.Endpoints()))
+	router.counters.Set("endpoints", int64(router.EndpointCount()))
 	router.counters.Set("call_bytes_held", router.HeldBytes())
 	router.counters.Set("connections_opened", router.connections.Opened())
 	router.counters.Set("budget_writes", router.budgets.Writes())
--- a/bvrouter/router.go
+++ b/bvrouter/router.go
@@ -49,9 +49,9 @@
 	// are not known. Entries that can't be read are told in the error beside the
 	// others.
 	AwaitEndpoints(ctx context.Context, after int64, wait bvclock.Duration) (bvplatform.EndpointChanges, error)
-	// SomeEndpoints returns the first entries of the list, and all of them if there
+	// FirstEndpoints returns the first entries of the list, and all of them if there
 	// are no more than the given number.
-	SomeEndpoints(ctx context.Context, most int) (bvplatform.EndpointChanges, error)
+	FirstEndpoints(ctx context.Context, most int) (bvplatform.EndpointChanges, error)
 	// AwaitRoutes returns the desired state when it changes after a point of
 	// its history, and the point to go on from; no table when nothing changed
 	// for the given time.
@@ -68,8 +68,8 @@
 type Parts struct {
 	Platform Platform
 	Wire     Wire
-	// Ready makes the handler that tells the balancer whether to send callers.
-	Ready func(ready func() bool) http.Handler
+	// ReadyHandler makes the handler that reports readiness to the balancer.
+	ReadyHandler func(ready func() bool) http.Handler
 }
 
 // Router is one host's daemon. Make one with New.
@@ -229,24 +229,25 @@
 // CallerAddress returns the IP and port that callers use.
 func (router *Router) CallerAddress() string { return router.callers.Addr().String() }
 
-// Hosts returns how many other hosts are heard of.
-func (router *Router) Hosts() int { return len(router.gossip.LivePeers()) }
+// PeerCount returns the number of other hosts whose digests arrive.
+func (router *Router) PeerCount() int { return len(router.gossip.LivePeers()) }
 
 // Name returns the host's name.
 func (router *Router) Name() string { return router.settings.Name }
 
-// Endpoints returns how many endpoints are on the list that this host goes by.
-func (router *Router) Endpoints() int {
+// EndpointCount returns the number of endpoints on the list that this host uses.
+func (router *Router) EndpointCount() int {
 	router.endpointsMutex.Lock()
 	defer router.endpointsMutex.Unlock()
 	return len(router.endpoints.all())
 }
 
-// Reads reports whether this host reads from the platform's store for others.
-func (router *Router) Reads() bool { return router.sources().large() && router.sources().reads() }
+// IsReader reports whether this host reads lists from the platform's store for others.
+func (router *Router) IsReader() bool { return router.sources().large() && router.sources().reads() }
 
-// Follows reports whether this host knows others that read for it, or reads for others.
-func (router *Router) Follows() bool {
+// HasReaders reports whether this host knows the readers of its availability zone; it may
+// be one of them.
+func (router *Router) HasReaders() bool {
 	known := router.sources()
 	return known.large() && len(known.readers()) == readersPerZone
 }
@@ -254,14 +255,14 @@
 // HeldBytes returns how many bytes of requests and answers this host holds.
 func (router *Router) HeldBytes() int64 { return router.front.HeldBytes() }
 
-// Grants reports whether this host may grant tokens of a program from memory.
-func (router *Router) Grants(program string) bool {
+// CanGrant reports whether this host may grant tokens of a program from memory.
+func (router *Router) CanGrant(program string) bool {
 	return router.leases.MayGrant(router.clock.Now(), program, 0)
 }
 
-// StoreServing reports whether the platform's store can be asked, from here or
+// IsStoreReachable reports whether the platform's store can be reached, directly or
 // through another host.
-func (router *Router) StoreServing() bool { return router.store.Serving() }
+func (router *Router) IsStoreReachable() bool { return router.store.Serving() }
 
 // Ready reports whether callers should be sent here. A host that can't ask the
 // store, by itself or through another host, can still begin programs while other
@@ -275,7 +276,7 @@
 
 // granting reports whether budgets can be granted without the store.
 func (router *Router) granting() bool {
-	return router.Hosts() > 0 && router.leases.Confirmed(router.clock.Now())
+	return router.PeerCount() > 0 && router.leases.Confirmed(router.clock.Now())
 }
 
 // Run serves until ctx ends, and then stops without cutting off a request.
@@ -299,7 +300,7 @@
 	group.Go(func() error { router.tellHosts(background); return nil })
 	group.Go(router.receive)
 	group.Go(func() error { return router.server.Serve(router.callers) })
-	group.Go(func() error { return serveUntil(background, router.ready, router.parts.Ready(router.Ready)) })
+	group.Go(func() error { return serveUntil(background, router.ready, router.parts.ReadyHandler(router.Ready)) })
 	group.Go(func() error { return serveUntil(background, router.peers, router.relayHandler()) })
 	group.Go(func() error { return serveUntil(background, router.metrics, router.metricsHandler()) })
 	group.Go(func() error {
--- a/bvrouter/store_calls.go
+++ b/bvrouter/store_calls.go
@@ -64,14 +64,14 @@
 // answers those of before.
 var errRegained = errors.New("router: the store was regained")
 
-// SomeEndpoints returns the first entries of the list of endpoints, by this host's own
+// FirstEndpoints returns the first entries of the list of endpoints, by this host's own
 // way only.
-func (client *storeClient) SomeEndpoints(ctx context.Context, most int) (changes bvplatform.EndpointChanges, err error) {
+func (client *storeClient) FirstEndpoints(ctx context.Context, most int) (changes bvplatform.EndpointChanges, err error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout.Std())
 	defer cancel()
 	var unreadable error
 	err = client.track(ctx, "some endpoints", func(ctx context.Context) (err error) {
-		changes, err = client.own.SomeEndpoints(ctx, most)
+		changes, err = client.own.FirstEndpoints(ctx, most)
 		if changes.Next != 0 {
 			unreadable, err = err, nil // the store has answered
 		}
--- a/bvrouter/store_client_test.go
+++ b/bvrouter/store_client_test.go
@@ -37,7 +37,7 @@
 	return bvplatform.EndpointChanges{Next: 1}, platform.err
 }
 
-func (platform *switchedPlatform) SomeEndpoints(context.Context, int) (bvplatform.EndpointChanges, error) {
+func (platform *switchedPlatform) FirstEndpoints(context.Context, int) (bvplatform.EndpointChanges, error) {
 	return bvplatform.EndpointChanges{Whole: true, Next: 1}, platform.err
 }
 
