--- a/bvdaemon/commit.go
+++ b/bvdaemon/commit.go
@@ -74,7 +74,7 @@
 			go loop.read(effect.Key)
 		case bvcommit.Done:
 			loop.daemon.measures.Add("commit_entries", 1)
-			loop.daemon.owner.Committed(effect.Entry, effect.Version, effect.Err)
+			loop.daemon.owner.ReportCommit(effect.Entry, effect.Version, effect.Err)
 		}
 	}
 }
--- a/bvdaemon/daemon.go
+++ b/bvdaemon/daemon.go
@@ -113,20 +113,20 @@
 
 func (daemon *Daemon) build() {
 	client := &bvendpoint.Client{Progress: daemon.settings.SilenceLimit()}
-	limits := bvgate.Limits{Queue: daemon.settings.QueueLimit()}
+	limits := bvgate.Limits{MaxQueued: daemon.settings.QueueLimit()}
 	daemon.permits = bvpermit.NewServer(daemon.clock, releaseWith(client), limits, daemon.log)
 	daemon.asker = bvpermit.NewClient(daemon.clock, daemon.view, daemon.peers, daemon.permits, daemon.log)
 	daemon.commits = newCommitLoop(daemon)
 	daemon.owner = bvowner.New(ownerName(daemon.view.Self()), bvowner.Parts{
-		Clock:     daemon.clock,
-		Store:     daemon.platform,
-		Committer: daemon.commits,
-		Permits:   daemon.asker,
-		Endpoints: client,
-		Addresses: daemon.endpoints,
-		Rows:      daemon.table,
-		Log:       daemon.log,
-		Measure:   daemon.measures,
+		Clock:        daemon.clock,
+		Store:        daemon.platform,
+		Committer:    daemon.commits,
+		Permits:      daemon.asker,
+		Endpoints:    client,
+		EndpointList: daemon.endpoints,
+		Table:        daemon.table,
+		Log:          daemon.log,
+		Metrics:      daemon.measures,
 	})
 	daemon.entry = bventry.New(daemon.clock, daemon.view, daemon.peers, daemon.owner, daemon.measures, daemon.log)
 	api := bvcaller.New(bvcaller.Parts{
--- a/bvdaemon/endpoint.go
+++ b/bvdaemon/endpoint.go
@@ -71,9 +71,9 @@
 	return sighting.endpoint, found
 }
 
-// Gone reports whether the lists of a whole forgetTime were without the
+// IsGone reports whether the lists of a whole forgetTime were without the
 // endpoint.
-func (table *endpointTable) Gone(name string) bool {
+func (table *endpointTable) IsGone(name string) bool {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
 	_, found := table.seen[name]
--- a/bvdaemon/endpoint_test.go
+++ b/bvdaemon/endpoint_test.go
@@ -17,7 +17,7 @@
 	table := &endpointTable{}
 	table.update(1, []bvplatform.Endpoint{engine("a")})
 	table.update(2_000, nil)
-	require.False(t, table.Gone("a"))
+	require.False(t, table.IsGone("a"))
 	require.Equal(t, []string{"a"}, table.Engines())
 	_, found := table.Endpoint("a")
 	require.True(t, found)
@@ -28,15 +28,15 @@
 	table := &endpointTable{}
 	table.update(1, []bvplatform.Endpoint{engine("a")})
 	table.update(62_000, nil)
-	require.True(t, table.Gone("a"))
+	require.True(t, table.IsGone("a"))
 }
 
 // Guards against a host that takes an engine for gone by a list that is too young.
 func TestHostThatHasJustStartedTakesNoEndpointForGone(t *testing.T) {
 	table := &endpointTable{}
-	require.False(t, table.Gone("a"))
+	require.False(t, table.IsGone("a"))
 	table.update(1, nil)
-	require.False(t, table.Gone("a"))
+	require.False(t, table.IsGone("a"))
 	table.update(30_000, nil)
-	require.False(t, table.Gone("a"))
+	require.False(t, table.IsGone("a"))
 }
--- a/bvdaemon/follow.go
+++ b/bvdaemon/follow.go
@@ -62,7 +62,7 @@
 	ctx, cancel := context.WithTimeout(ctx, listTimeout.Std())
 	defer cancel()
 	daemon.asker.ShareSuspects(ctx)
-	daemon.measures.Set("suspects_told", daemon.asker.SuspectsTold())
+	daemon.measures.Set("suspects_told", daemon.asker.SuspectsSent())
 }
 
 // shareTable gives the decisions the endpoints and the shares in force.
--- a/bvdaemon/reclaim.go
+++ b/bvdaemon/reclaim.go
@@ -33,7 +33,7 @@
 			daemon.log.WithError(err).Warn("programs could not be scanned")
 			continue
 		}
-		daemon.owner.Reclaim(rows, daemon.ownerIsLive)
+		daemon.owner.ReclaimPrograms(rows, daemon.ownerIsLive)
 	}
 }
 
--- a/bvdaemon/run.go
+++ b/bvdaemon/run.go
@@ -83,7 +83,7 @@
 }
 
 func (daemon *Daemon) waitForCalls(limit context.Context) {
-	for !daemon.owner.Idle() {
+	for !daemon.owner.IsIdle() {
 		if limit.Err() != nil {
 			daemon.log.Warn("calls were still under way at the stop limit")
 			return
@@ -97,7 +97,7 @@
 func (daemon *Daemon) waitForHandover(limit context.Context) {
 	limit, cancel := context.WithTimeout(limit, handoverTime.Std())
 	defer cancel()
-	for limit.Err() == nil && !daemon.owner.Left() {
+	for limit.Err() == nil && !daemon.owner.HasLeft() {
 		sleep(limit, flushPoll)
 	}
 }
--- a/bvdaemon/status.go
+++ b/bvdaemon/status.go
@@ -114,13 +114,13 @@
 			}
 			report.Member.Queued += found.Queued
 			report.Member.Running += found.Running
-			report.Member.Work += float64(found.Work)
+			report.Member.Work += float64(found.RecentWork)
 		}
 	}
 }
 
 func (daemon *Daemon) reportMember(report *bvstatus.Report, member string) {
-	report.Member.Programs = daemon.owner.Programs(member)
+	report.Member.Programs = daemon.owner.ProgramCount(member)
 	report.Member.Refusals = daemon.measures.Refusals(member)
 	report.Member.Known = report.Member.Programs > 0 || len(report.Member.Refusals) > 0
 }
--- a/bvdaemon/table.go
+++ b/bvdaemon/table.go
@@ -39,7 +39,7 @@
 	return version
 }
 
-// Row implements bvowner.Rows. A host that has just started and knows no table yet leaves
+// Row implements bvowner.Table. A host that has just started and knows no table yet leaves
 // the call to another one.
 func (table *table) Row(member, class string) (bvtable.Row, error) {
 	snapshot := table.follower.Snapshot()
--- a/bvexperiment/affinity.go
+++ b/bvexperiment/affinity.go
@@ -14,8 +14,8 @@
 	sentTo      map[bvgate.RequestID]string
 }
 
-// Ask implements Policy.
-func (policy *affinity) Ask(_ bvclock.Time, request bvgate.Request) {
+// Submit implements Policy.
+func (policy *affinity) Submit(_ bvclock.Time, request bvgate.Request) {
 	usable := policy.usable()
 	if len(usable) == 0 {
 		policy.refuseWithoutEndpoint(request.ID)
@@ -23,7 +23,7 @@
 	}
 	chosen := usable[0].Name
 	for _, endpoint := range usable {
-		if endpoint.Name == request.HistoryFrom {
+		if endpoint.Name == request.HistoryEndpoint {
 			chosen = endpoint.Name
 			break
 		}
--- a/bvexperiment/capacity_peer_test.go
+++ b/bvexperiment/capacity_peer_test.go
@@ -108,7 +108,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			permit.Use()
+			permit.MarkUsed()
 			permit.Finish(&bvpeer.PermitFinish{PromptTokens: 2000, OutputTokens: 100, PauseMs: 500})
 		}
 		used := processorTime() - before
--- a/bvexperiment/capacity_test.go
+++ b/bvexperiment/capacity_test.go
@@ -76,18 +76,18 @@
 	pool := &bvgate.Pool{}
 	pool.SetMembers([]bvgate.MemberShare{{Member: "piran", Weight: 1}})
 	for at := range engines {
-		pool.Report(1, bvgate.EndpointReport{Name: fmt.Sprintf("engine-%d", at), Slots: 64, CacheTokens: 1_000_000})
+		pool.UpdateEndpoint(1, bvgate.EndpointReport{Name: fmt.Sprintf("engine-%d", at), Slots: 64, CacheTokens: 1_000_000})
 	}
 	for at := range programs {
 		id := bvgate.RequestID(at + 1)
-		pool.Ask(1, bvgate.Request{
+		pool.Submit(1, bvgate.Request{
 			ID: id, Member: "piran", Program: fmt.Sprintf("p-%d", at),
 			PromptTokens: 2000, OutputTokens: 100, Fingerprint: uint64(id),
 		})
 		if len(pool.Tick(1)) != 1 {
 			b.Fatal("not granted")
 		}
-		pool.Used(1, id)
+		pool.MarkUsed(1, id)
 		pool.Finish(1, bvgate.Finish{ID: id, PromptTokens: 2000, OutputTokens: 100, Pause: bvclock.Second})
 	}
 	return pool
--- a/bvexperiment/clairvoyant.go
+++ b/bvexperiment/clairvoyant.go
@@ -29,8 +29,8 @@
 
 func (policy *clairvoyant) foresee(oracle oracle) { policy.oracle = oracle }
 
-// Ask implements Policy.
-func (policy *clairvoyant) Ask(_ bvclock.Time, request bvgate.Request) {
+// Submit implements Policy.
+func (policy *clairvoyant) Submit(_ bvclock.Time, request bvgate.Request) {
 	asked := foreseen{Request: request, remaining: policy.oracle.remaining(request.Program)}
 	at, _ := slices.BinarySearchFunc(policy.queue, asked, func(queued, asked foreseen) int {
 		return cmp.Or(cmp.Compare(queued.remaining, asked.remaining), cmp.Compare(queued.ID, asked.ID))
@@ -46,9 +46,9 @@
 	}
 }
 
-// Remove implements Policy.
-func (policy *clairvoyant) Remove(now bvclock.Time, endpoint string) {
-	policy.baseline.Remove(now, endpoint)
+// RemoveEndpoint implements Policy.
+func (policy *clairvoyant) RemoveEndpoint(now bvclock.Time, endpoint string) {
+	policy.baseline.RemoveEndpoint(now, endpoint)
 	delete(policy.running, endpoint)
 }
 
--- a/bvexperiment/experiment_test.go
+++ b/bvexperiment/experiment_test.go
@@ -125,9 +125,9 @@
 // deaf never learns that an endpoint is leaving.
 type deaf struct{ *bvgate.Pool }
 
-func (policy deaf) Report(now bvclock.Time, report bvgate.EndpointReport) {
+func (policy deaf) UpdateEndpoint(now bvclock.Time, report bvgate.EndpointReport) {
 	report.Leaving = false
-	policy.Pool.Report(now, report)
+	policy.Pool.UpdateEndpoint(now, report)
 }
 
 // Guards against a measurement that does not show calls to a leaving engine.
--- a/bvexperiment/fault.go
+++ b/bvexperiment/fault.go
@@ -104,13 +104,13 @@
 		return
 	}
 	crashed.listed = false
-	simulation.tell(func() { simulation.policy.Remove(simulation.now, crashed.name) })
+	simulation.tell(func() { simulation.policy.RemoveEndpoint(simulation.now, crashed.name) })
 }
 
 func (simulation *simulation) list(restarted *endpoint) {
 	restarted.listed = true
 	report := restarted.report(simulation.now)
-	simulation.tell(func() { simulation.policy.Report(simulation.now, report) })
+	simulation.tell(func() { simulation.policy.UpdateEndpoint(simulation.now, report) })
 }
 
 // planReports lets an endpoint report its load again and again; each report
@@ -136,5 +136,5 @@
 	}
 	report.Leaving = from.leaving && !simulation.now.Before(from.leavingAt.Add(listLag))
 	simulation.touched = true
-	simulation.policy.Report(simulation.now, report)
+	simulation.policy.UpdateEndpoint(simulation.now, report)
 }
--- a/bvexperiment/killedgate.go
+++ b/bvexperiment/killedgate.go
@@ -44,20 +44,20 @@
 	gate.Pool.SetMembers(shares)
 }
 
-// Report implements Policy.
-func (gate *killedGate) Report(now bvclock.Time, report bvgate.EndpointReport) {
+// UpdateEndpoint implements Policy.
+func (gate *killedGate) UpdateEndpoint(now bvclock.Time, report bvgate.EndpointReport) {
 	gate.forget(report.Name)
 	gate.reports = append(gate.reports, report)
 	if !gate.dead {
-		gate.Pool.Report(now, report)
+		gate.Pool.UpdateEndpoint(now, report)
 	}
 }
 
-// Remove implements Policy.
-func (gate *killedGate) Remove(now bvclock.Time, endpoint string) {
+// RemoveEndpoint implements Policy.
+func (gate *killedGate) RemoveEndpoint(now bvclock.Time, endpoint string) {
 	gate.forget(endpoint)
 	if !gate.dead {
-		gate.Pool.Remove(now, endpoint)
+		gate.Pool.RemoveEndpoint(now, endpoint)
 	}
 }
 
@@ -67,17 +67,17 @@
 	})
 }
 
-// Ask implements Policy.
-func (gate *killedGate) Ask(now bvclock.Time, request bvgate.Request) {
+// Submit implements Policy.
+func (gate *killedGate) Submit(now bvclock.Time, request bvgate.Request) {
 	gate.waiting[request.ID] = request
 	if !gate.dead {
-		gate.Pool.Ask(now, request)
+		gate.Pool.Submit(now, request)
 	}
 }
 
-// Used implements Policy.
-func (gate *killedGate) Used(now bvclock.Time, id bvgate.RequestID) bool {
-	return gate.dead || gate.Pool.Used(now, id)
+// MarkUsed implements Policy.
+func (gate *killedGate) MarkUsed(now bvclock.Time, id bvgate.RequestID) bool {
+	return gate.dead || gate.Pool.MarkUsed(now, id)
 }
 
 // Finish implements Policy.
@@ -131,13 +131,13 @@
 	gate.Pool = tunedPool()
 	gate.Pool.SetMembers(gate.shares)
 	for _, report := range gate.reports {
-		gate.Pool.Report(now, report)
+		gate.Pool.UpdateEndpoint(now, report)
 	}
 	for _, id := range sortedIDs(gate.running) {
 		gate.Pool.Adopt(now, gate.running[id].request, gate.running[id].endpoint)
 	}
 	for _, id := range sortedIDs(gate.waiting) {
-		gate.Pool.Ask(now, gate.waiting[id])
+		gate.Pool.Submit(now, gate.waiting[id])
 	}
 	for _, program := range gate.ended {
 		gate.Pool.EndProgram(now, program[0], program[1])
@@ -154,12 +154,12 @@
 	return ids
 }
 
-// Next implements Policy.
-func (gate *killedGate) Next() bvclock.Time {
+// NextTick implements Policy.
+func (gate *killedGate) NextTick() bvclock.Time {
 	if gate.dead {
 		return faultAt.Add(takeoverTime)
 	}
-	next := gate.Pool.Next()
+	next := gate.Pool.NextTick()
 	if !gate.revived && (next == 0 || faultAt.Before(next)) {
 		return faultAt
 	}
--- a/bvexperiment/leastload.go
+++ b/bvexperiment/leastload.go
@@ -12,8 +12,8 @@
 	turn int
 }
 
-// Ask implements Policy.
-func (policy *leastLoad) Ask(_ bvclock.Time, request bvgate.Request) {
+// Submit implements Policy.
+func (policy *leastLoad) Submit(_ bvclock.Time, request bvgate.Request) {
 	usable := policy.usable()
 	if len(usable) == 0 {
 		policy.refuseWithoutEndpoint(request.ID)
--- a/bvexperiment/life.go
+++ b/bvexperiment/life.go
@@ -32,7 +32,7 @@
 	call.endpoint = nil
 	call.request.Attempt = call.repeats
 	simulation.records.ask(call, simulation.now)
-	simulation.tell(func() { simulation.policy.Ask(simulation.now, call.request) })
+	simulation.tell(func() { simulation.policy.Submit(simulation.now, call.request) })
 }
 
 // send makes a granted call.
@@ -41,7 +41,7 @@
 	if call == nil || call.sent {
 		return
 	}
-	simulation.tell(func() { simulation.policy.Used(simulation.now, grant.Request) })
+	simulation.tell(func() { simulation.policy.MarkUsed(simulation.now, grant.Request) })
 	endpoint := simulation.byName[grant.Endpoint]
 	if endpoint.down {
 		simulation.finishFailed(call, bvgate.Refused)
@@ -99,7 +99,7 @@
 	}
 	endpoint.model.Release(simulation.now, release.Member, release.Program)
 	endpoint.changed()
-	simulation.policy.ReleaseDone(simulation.now, release.Endpoint, release.Member, release.Program)
+	simulation.policy.ConfirmRelease(simulation.now, release.Endpoint, release.Member, release.Program)
 }
 
 // advance takes what happened in an endpoint.
--- a/bvexperiment/policy.go
+++ b/bvexperiment/policy.go
@@ -11,16 +11,16 @@
 // not a copy of them. The baselines answer to the same events.
 type Policy interface {
 	SetMembers(shares []bvgate.MemberShare)
-	Report(now bvclock.Time, report bvgate.EndpointReport)
-	Remove(now bvclock.Time, endpoint string)
-	Ask(now bvclock.Time, request bvgate.Request)
-	Used(now bvclock.Time, id bvgate.RequestID) bool
+	UpdateEndpoint(now bvclock.Time, report bvgate.EndpointReport)
+	RemoveEndpoint(now bvclock.Time, endpoint string)
+	Submit(now bvclock.Time, request bvgate.Request)
+	MarkUsed(now bvclock.Time, id bvgate.RequestID) bool
 	Finish(now bvclock.Time, finish bvgate.Finish)
 	Adopt(now bvclock.Time, running bvgate.Request, endpoint string)
 	EndProgram(now bvclock.Time, member, program string)
-	ReleaseDone(now bvclock.Time, endpoint, member, program string)
+	ConfirmRelease(now bvclock.Time, endpoint, member, program string)
 	Tick(now bvclock.Time) []bvgate.Effect
-	Next() bvclock.Time
+	NextTick() bvclock.Time
 }
 
 // baseline does what all baselines share: it keeps the list of endpoints and
@@ -30,15 +30,15 @@
 	effects   []bvgate.Effect
 }
 
-func (baseline *baseline) SetMembers([]bvgate.MemberShare)                                {}
-func (baseline *baseline) Used(bvclock.Time, bvgate.RequestID) bool                       { return true }
-func (baseline *baseline) Finish(bvclock.Time, bvgate.Finish)                             {}
-func (baseline *baseline) Adopt(bvclock.Time, bvgate.Request, string)                     {}
-func (baseline *baseline) EndProgram(now bvclock.Time, member, program string)            {}
-func (baseline *baseline) ReleaseDone(now bvclock.Time, endpoint, member, program string) {}
-func (baseline *baseline) Next() bvclock.Time                                             { return 0 }
+func (baseline *baseline) SetMembers([]bvgate.MemberShare)                                   {}
+func (baseline *baseline) MarkUsed(bvclock.Time, bvgate.RequestID) bool                      { return true }
+func (baseline *baseline) Finish(bvclock.Time, bvgate.Finish)                                {}
+func (baseline *baseline) Adopt(bvclock.Time, bvgate.Request, string)                        {}
+func (baseline *baseline) EndProgram(now bvclock.Time, member, program string)               {}
+func (baseline *baseline) ConfirmRelease(now bvclock.Time, endpoint, member, program string) {}
+func (baseline *baseline) NextTick() bvclock.Time                                            { return 0 }
 
-func (baseline *baseline) Report(_ bvclock.Time, report bvgate.EndpointReport) {
+func (baseline *baseline) UpdateEndpoint(_ bvclock.Time, report bvgate.EndpointReport) {
 	at, found := baseline.find(report.Name)
 	if found {
 		baseline.endpoints[at] = report
@@ -48,7 +48,7 @@
 	sortByName(baseline.endpoints)
 }
 
-func (baseline *baseline) Remove(_ bvclock.Time, endpoint string) {
+func (baseline *baseline) RemoveEndpoint(_ bvclock.Time, endpoint string) {
 	if at, found := baseline.find(endpoint); found {
 		baseline.endpoints = append(baseline.endpoints[:at], baseline.endpoints[at+1:]...)
 	}
--- a/bvexperiment/program.go
+++ b/bvexperiment/program.go
@@ -58,8 +58,8 @@
 		id:      id,
 		request: bvgate.Request{
 			ID: id, Member: program.member, Class: program.class, Program: program.key,
-			Priority: program.priority, Attained: program.root.attained, PromptTokens: prompt,
-			HistoryFrom: program.from, HistoryHeld: program.held, Fingerprint: program.fingerprint(),
+			Priority: program.priority, AttainedService: program.root.attained, PromptTokens: prompt,
+			HistoryEndpoint: program.from, HistoryTokens: program.held, Fingerprint: program.fingerprint(),
 		},
 		model: bvmodel.Call{
 			ID: bvmodel.CallID(id), Salt: program.member, Prefix: program.key,
--- a/bvexperiment/quotas.go
+++ b/bvexperiment/quotas.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// Report implements Policy.
-func (policy *quotas) Report(now bvclock.Time, report bvgate.EndpointReport) {
+// UpdateEndpoint implements Policy.
+func (policy *quotas) UpdateEndpoint(now bvclock.Time, report bvgate.EndpointReport) {
 	first := hostOf(report.Name)
 	for at, pool := range policy.pools {
 		part := report
@@ -50,7 +50,7 @@
 		part.CacheTokens = report.CacheTokens * part.Slots / report.Slots
 		part.Running = report.Running * part.Slots / report.Slots
 		if part.Slots > 0 {
-			pool.Report(now, part)
+			pool.UpdateEndpoint(now, part)
 		}
 	}
 }
@@ -64,23 +64,23 @@
 	return part
 }
 
-// Remove implements Policy.
-func (policy *quotas) Remove(now bvclock.Time, endpoint string) {
+// RemoveEndpoint implements Policy.
+func (policy *quotas) RemoveEndpoint(now bvclock.Time, endpoint string) {
 	for _, pool := range policy.pools {
-		pool.Remove(now, endpoint)
+		pool.RemoveEndpoint(now, endpoint)
 	}
 }
 
-// Ask implements Policy.
-func (policy *quotas) Ask(now bvclock.Time, request bvgate.Request) {
+// Submit implements Policy.
+func (policy *quotas) Submit(now bvclock.Time, request bvgate.Request) {
 	host := hostOf(request.Program)
 	policy.owner[request.ID] = host
-	policy.pools[host].Ask(now, request)
+	policy.pools[host].Submit(now, request)
 }
 
-// Used implements Policy.
-func (policy *quotas) Used(now bvclock.Time, id bvgate.RequestID) bool {
-	return policy.pools[policy.owner[id]].Used(now, id)
+// MarkUsed implements Policy.
+func (policy *quotas) MarkUsed(now bvclock.Time, id bvgate.RequestID) bool {
+	return policy.pools[policy.owner[id]].MarkUsed(now, id)
 }
 
 // Finish implements Policy.
@@ -98,9 +98,9 @@
 	policy.pools[hostOf(program)].EndProgram(now, member, program)
 }
 
-// ReleaseDone implements Policy.
-func (policy *quotas) ReleaseDone(now bvclock.Time, endpoint, member, program string) {
-	policy.pools[hostOf(program)].ReleaseDone(now, endpoint, member, program)
+// ConfirmRelease implements Policy.
+func (policy *quotas) ConfirmRelease(now bvclock.Time, endpoint, member, program string) {
+	policy.pools[hostOf(program)].ConfirmRelease(now, endpoint, member, program)
 }
 
 // Tick implements Policy.
@@ -112,11 +112,11 @@
 	return effects
 }
 
-// Next implements Policy.
-func (policy *quotas) Next() bvclock.Time {
+// NextTick implements Policy.
+func (policy *quotas) NextTick() bvclock.Time {
 	next := bvclock.Time(0)
 	for _, pool := range policy.pools {
-		if at := pool.Next(); at != 0 && (next == 0 || at.Before(next)) {
+		if at := pool.NextTick(); at != 0 && (next == 0 || at.Before(next)) {
 			next = at
 		}
 	}
--- a/bvexperiment/roundrobin.go
+++ b/bvexperiment/roundrobin.go
@@ -15,8 +15,8 @@
 	turn int
 }
 
-// Ask implements Policy.
-func (policy *roundRobin) Ask(_ bvclock.Time, request bvgate.Request) {
+// Submit implements Policy.
+func (policy *roundRobin) Submit(_ bvclock.Time, request bvgate.Request) {
 	usable := policy.usable()
 	if len(usable) == 0 {
 		policy.refuseWithoutEndpoint(request.ID)
--- a/bvexperiment/simulation.go
+++ b/bvexperiment/simulation.go
@@ -66,7 +66,7 @@
 	}
 	simulation.policy.SetMembers(simulation.scenario.members)
 	for _, endpoint := range simulation.endpoints {
-		simulation.policy.Report(0, endpoint.report(0))
+		simulation.policy.UpdateEndpoint(0, endpoint.report(0))
 		simulation.planReports(endpoint)
 	}
 	for _, spec := range programs {
@@ -121,7 +121,7 @@
 			next, ok = endpoint.nextAt, true
 		}
 	}
-	if tick := simulation.policy.Next(); tick != 0 {
+	if tick := simulation.policy.NextTick(); tick != 0 {
 		// A policy that is due in the past has just been asked.
 		tick = max(tick, simulation.now+1)
 		if !ok || tick.Before(next) {
@@ -133,7 +133,7 @@
 
 // decide asks the policy for its decisions if it was told something or is due.
 func (simulation *simulation) decide() {
-	tick := simulation.policy.Next()
+	tick := simulation.policy.NextTick()
 	if !simulation.touched && (tick == 0 || tick.After(simulation.now)) {
 		return
 	}
--- a/bvexperiment/twochoices.go
+++ b/bvexperiment/twochoices.go
@@ -38,8 +38,8 @@
 	return policy
 }
 
-// Ask implements Policy.
-func (policy *twoChoices) Ask(now bvclock.Time, request bvgate.Request) {
+// Submit implements Policy.
+func (policy *twoChoices) Submit(now bvclock.Time, request bvgate.Request) {
 	usable := policy.usable()
 	if len(usable) == 0 {
 		policy.refuseWithoutEndpoint(request.ID)
@@ -52,7 +52,7 @@
 		best = second
 	}
 	for _, endpoint := range usable {
-		if endpoint.Name == request.HistoryFrom && policy.load(host, endpoint, request) <= policy.load(host, best, request) {
+		if endpoint.Name == request.HistoryEndpoint && policy.load(host, endpoint, request) <= policy.load(host, best, request) {
 			best = endpoint
 		}
 	}
@@ -70,8 +70,8 @@
 			load++
 		}
 	}
-	if endpoint.Name == request.HistoryFrom {
-		load -= float64(request.HistoryHeld) / historyWorth
+	if endpoint.Name == request.HistoryEndpoint {
+		load -= float64(request.HistoryTokens) / historyWorth
 	}
 	return load
 }
--- a/bvgate/absence_test.go
+++ b/bvgate/absence_test.go
@@ -11,14 +11,14 @@
 // Guards against a caller without a deadline who waits for ever for an engine.
 func TestRequestIsRefusedWhenNoEndpointComesBack(t *testing.T) {
 	pool := &Pool{}
-	pool.Report(0, EndpointReport{Name: "engine-1", Slots: 1})
-	pool.Ask(0, Request{ID: 1, Member: "piran", Program: "p"})
+	pool.UpdateEndpoint(0, EndpointReport{Name: "engine-1", Slots: 1})
+	pool.Submit(0, Request{ID: 1, Member: "piran", Program: "p"})
 	require.IsType(t, Grant{}, pool.Tick(0)[0])
-	pool.Used(0, 1)
-	pool.Ask(1, Request{ID: 2, Member: "piran", Program: "q"})
-	pool.Remove(2, "engine-1")
+	pool.MarkUsed(0, 1)
+	pool.Submit(1, Request{ID: 2, Member: "piran", Program: "q"})
+	pool.RemoveEndpoint(2, "engine-1")
 	require.Empty(t, refusals(pool.Tick(2)))
-	require.NotZero(t, pool.Next())
+	require.NotZero(t, pool.NextTick())
 	refused := refusals(pool.Tick(2 + 5000))
 	require.Len(t, refused, 1)
 	require.Equal(t, RequestID(2), refused[0].Request)
--- a/bvgate/admission.go
+++ b/bvgate/admission.go
@@ -8,11 +8,11 @@
 // Limits bound what waits. A zero field stands for its default.
 type Limits struct {
 	// Queue is how many requests of a member may wait; 4,096.
-	Queue int
+	MaxQueued int
 	// Wait is the backlog, in time at the member's share, at which new
 	// programs are turned away; 30 s. Programs under way are not, because
 	// what they have been served already would be lost.
-	Wait bvclock.Duration
+	MaxBacklog bvclock.Duration
 }
 
 const (
@@ -24,17 +24,17 @@
 )
 
 func (limits Limits) queue() int {
-	if limits.Queue == 0 {
+	if limits.MaxQueued == 0 {
 		return defaultQueue
 	}
-	return limits.Queue
+	return limits.MaxQueued
 }
 
 func (limits Limits) wait() bvclock.Duration {
-	if limits.Wait == 0 {
+	if limits.MaxBacklog == 0 {
 		return defaultWait
 	}
-	return limits.Wait
+	return limits.MaxBacklog
 }
 
 // SetLimits replaces the bounds of what waits.
@@ -70,7 +70,7 @@
 
 // starts reports whether the request begins a program.
 func (queued *request) starts() bool {
-	return queued.Attained == 0 && queued.HistoryFrom == "" && len(queued.program.sites) == 0
+	return queued.AttainedService == 0 && queued.HistoryEndpoint == "" && len(queued.program.sites) == 0
 }
 
 func overloaded(wait bvclock.Duration, reason string, args ...any) *bvverdict.Error {
--- a/bvgate/admission_test.go
+++ b/bvgate/admission_test.go
@@ -26,7 +26,7 @@
 	// come back; a caller of the other member is served as its share allows.
 	// In one bounded queue for all, the other member would be refused.
 	engines := newEngines(4, 4)
-	engines.pool.SetLimits(Limits{Queue: 100, Wait: bvclock.Hour})
+	engines.pool.SetLimits(Limits{MaxQueued: 100, MaxBacklog: bvclock.Hour})
 	for range 500 {
 		engines.ask(Request{Member: "rival", OutputTokens: 50})
 	}
@@ -54,9 +54,9 @@
 
 func TestNewProgramsAreTurnedAwayBeforeThoseUnderWay(t *testing.T) {
 	engines := newEngines(1, 1)
-	engines.pool.SetLimits(Limits{Wait: 5 * bvclock.Second})
+	engines.pool.SetLimits(Limits{MaxBacklog: 5 * bvclock.Second})
 	for range 20 {
-		engines.ask(Request{Member: "m", Attained: 10, OutputTokens: 100})
+		engines.ask(Request{Member: "m", AttainedService: 10, OutputTokens: 100})
 	}
 	require.Empty(t, refusals(engines.tick()))
 	engines.ask(Request{Member: "m", OutputTokens: 100})
@@ -73,7 +73,7 @@
 		engines.run()
 		engines.tick()
 	}
-	engines.pool.SetLimits(Limits{Queue: 1})
+	engines.pool.SetLimits(Limits{MaxQueued: 1})
 	engines.ask(Request{Member: "m", OutputTokens: 100})
 	told := refusals(engines.tick())[0].Err.RetryAfter()
 	asked := engines.now
@@ -90,12 +90,12 @@
 	engines.pool.SetMembers([]MemberShare{{Member: "m", Rate: 2}})
 	engines.now = 10_000
 	for range 10 {
-		engines.ask(Request{Member: "m", Attained: 1, OutputTokens: 1})
+		engines.ask(Request{Member: "m", AttainedService: 1, OutputTokens: 1})
 	}
 	engines.tick()
 	require.Len(t, engines.started, 2)
 	for engines.now < 12_000 {
-		engines.now = engines.pool.Next()
+		engines.now = engines.pool.NextTick()
 		engines.tick()
 	}
 	require.Len(t, engines.started, 6)
@@ -154,7 +154,7 @@
 	// come back; they came back to find newcomers in their place, again and
 	// again, until they gave up.
 	engines := newEngines(4, 4)
-	engines.pool.SetLimits(Limits{Wait: 5 * bvclock.Second})
+	engines.pool.SetLimits(Limits{MaxBacklog: 5 * bvclock.Second})
 	begun, returned, refusedAgain := 0, 0, 0
 	var away []end
 	asked := map[RequestID]Request{}
--- a/bvgate/bench_test.go
+++ b/bvgate/bench_test.go
@@ -28,7 +28,7 @@
 			program = ""
 		}
 		engines.ask(Request{
-			Member: members[i%2], Program: program, Attained: Work(500 * turn),
+			Member: members[i%2], Program: program, AttainedService: Work(500 * turn),
 			PromptTokens: 600 * (turn + 1), OutputTokens: 60 + i%80, Fingerprint: uint64(next + 1),
 		})
 		next++
@@ -47,7 +47,7 @@
 		ask()
 		for _, effect := range engines.tick() {
 			if release, ok := effect.(Release); ok {
-				pool.ReleaseDone(engines.now, release.Endpoint, release.Member, release.Program)
+				pool.ConfirmRelease(engines.now, release.Endpoint, release.Member, release.Program)
 			}
 		}
 		engines.started = engines.started[:0]
--- a/bvgate/broken_test.go
+++ b/bvgate/broken_test.go
@@ -65,22 +65,22 @@
 	deaf   bool // to reports of used permits
 }
 
-func (tampered tampered) Report(now bvclock.Time, report EndpointReport) {
+func (tampered tampered) UpdateEndpoint(now bvclock.Time, report EndpointReport) {
 	if tampered.report != nil {
 		tampered.report(&report)
 	}
-	tampered.Pool.Report(now, report)
+	tampered.Pool.UpdateEndpoint(now, report)
 }
 
-func (tampered tampered) Ask(now bvclock.Time, request Request) {
+func (tampered tampered) Submit(now bvclock.Time, request Request) {
 	if tampered.ask != nil {
 		tampered.ask(&request)
 	}
-	tampered.Pool.Ask(now, request)
+	tampered.Pool.Submit(now, request)
 }
 
-func (tampered tampered) Used(now bvclock.Time, id RequestID) bool {
-	return !tampered.deaf && tampered.Pool.Used(now, id)
+func (tampered tampered) MarkUsed(now bvclock.Time, id RequestID) bool {
+	return !tampered.deaf && tampered.Pool.MarkUsed(now, id)
 }
 
 func (tampered tampered) Finish(now bvclock.Time, finish Finish) {
--- a/bvgate/call.go
+++ b/bvgate/call.go
@@ -147,11 +147,11 @@
 	}
 }
 
-// Used reports that the owner has begun the call, so that the permit no longer
+// MarkUsed reports that the owner has begun the call, so that the permit no longer
 // lapses; owners repeat it for calls that run for minutes. It returns false
 // for a permit that is unknown or had lapsed. A call that was begun in spite
 // of that counts against its endpoint until Finish.
-func (pool *Pool) Used(now bvclock.Time, id RequestID) bool {
+func (pool *Pool) MarkUsed(now bvclock.Time, id RequestID) bool {
 	found := pool.calls[id]
 	if found == nil {
 		return false
@@ -202,7 +202,7 @@
 	}
 	if ended.lapsed && finish.Outcome != Unused {
 		// Its Used was lost on the way, but it ran.
-		pool.Used(now, finish.ID)
+		pool.MarkUsed(now, finish.ID)
 	}
 	pool.settle(now, ended, finish)
 	pool.judge(now, ended, finish.Outcome)
--- a/bvgate/endpoint.go
+++ b/bvgate/endpoint.go
@@ -177,8 +177,8 @@
 	}
 }
 
-// Report adds an endpoint or updates what is known of it.
-func (pool *Pool) Report(now bvclock.Time, report EndpointReport) {
+// UpdateEndpoint adds an endpoint or updates what is known of it.
+func (pool *Pool) UpdateEndpoint(now bvclock.Time, report EndpointReport) {
 	found := pool.endpoints[report.Name]
 	if found == nil {
 		found = pool.addEndpoint(report)
@@ -249,8 +249,8 @@
 	of.sites = nil
 }
 
-// Remove forgets an endpoint that is gone. Its calls stay until they finish.
-func (pool *Pool) Remove(now bvclock.Time, name string) {
+// RemoveEndpoint forgets an endpoint that is gone. Its calls stay until they finish.
+func (pool *Pool) RemoveEndpoint(now bvclock.Time, name string) {
 	removed := pool.endpoints[name]
 	if removed == nil || removed.gone {
 		return
--- a/bvgate/health_test.go
+++ b/bvgate/health_test.go
@@ -10,7 +10,7 @@
 
 // failNext asks, and fails the call if it is granted.
 func failNext(engines *engines, outcome Outcome) []Effect {
-	id := engines.ask(Request{Member: "m", Attained: 1, OutputTokens: 1})
+	id := engines.ask(Request{Member: "m", AttainedService: 1, OutputTokens: 1})
 	effects := engines.pool.Tick(engines.now)
 	if engines.pool.calls[id] == nil {
 		engines.pool.Withdraw(engines.now, id)
@@ -29,7 +29,7 @@
 	var waits []bvclock.Duration
 	for range 9 {
 		require.Empty(t, failNext(engines, Silent))
-		probe := engines.pool.Next()
+		probe := engines.pool.NextTick()
 		waits = append(waits, probe.Sub(engines.now))
 		engines.now = probe
 		require.NotEmpty(t, failNext(engines, Silent))
@@ -41,10 +41,10 @@
 	engines := newEngines(1, 8)
 	failNext(engines, Crashed)
 	for range 4 {
-		engines.ask(Request{Member: "m", Attained: 1, OutputTokens: 10})
+		engines.ask(Request{Member: "m", AttainedService: 1, OutputTokens: 10})
 	}
 	require.Empty(t, engines.tick())
-	engines.now = engines.pool.Next()
+	engines.now = engines.pool.NextTick()
 	require.Len(t, engines.tick(), 1)
 	engines.run()
 	require.Len(t, engines.tick(), 3)
@@ -53,13 +53,13 @@
 func TestLateFailuresOfOldCallsDoNotLengthenTheEjection(t *testing.T) {
 	engines := newEngines(1, 8)
 	for range 8 {
-		engines.ask(Request{Member: "m", Attained: 1, OutputTokens: 10})
+		engines.ask(Request{Member: "m", AttainedService: 1, OutputTokens: 10})
 	}
 	engines.tick()
 	for id := RequestID(1); id <= 8; id++ {
 		engines.pool.Finish(engines.now, Finish{ID: id, Outcome: Silent})
 	}
-	require.Equal(t, bvclock.Time(firstEject), engines.pool.Next())
+	require.Equal(t, bvclock.Time(firstEject), engines.pool.NextTick())
 }
 
 func TestCallsOfOthersTakeSlotsUntilReportsStop(t *testing.T) {
@@ -67,9 +67,9 @@
 	// Its report shows calls that this one did not grant; later its reports
 	// stop, and it must not count as full for good.
 	pool := &Pool{}
-	pool.Report(0, EndpointReport{Name: "a", Slots: 2, Running: 2})
-	pool.Ask(0, Request{ID: 1, Member: "m"})
+	pool.UpdateEndpoint(0, EndpointReport{Name: "a", Slots: 2, Running: 2})
+	pool.Submit(0, Request{ID: 1, Member: "m"})
 	require.Empty(t, pool.Tick(0))
-	require.Equal(t, bvclock.Time(peakWindow), pool.Next())
+	require.Equal(t, bvclock.Time(peakWindow), pool.NextTick())
 	require.Len(t, pool.Tick(bvclock.Time(peakWindow)), 1)
 }
--- a/bvgate/machine_test.go
+++ b/bvgate/machine_test.go
@@ -38,18 +38,18 @@
 // decider is what the machine drives: a Pool, or a fake that breaks one.
 type decider interface {
 	SetMembers(shares []MemberShare)
-	Report(now bvclock.Time, report EndpointReport)
-	Remove(now bvclock.Time, name string)
-	Ask(now bvclock.Time, asked Request)
+	UpdateEndpoint(now bvclock.Time, report EndpointReport)
+	RemoveEndpoint(now bvclock.Time, name string)
+	Submit(now bvclock.Time, asked Request)
 	Withdraw(now bvclock.Time, id RequestID)
-	Used(now bvclock.Time, id RequestID) bool
+	MarkUsed(now bvclock.Time, id RequestID) bool
 	Finish(now bvclock.Time, finish Finish)
 	Adopt(now bvclock.Time, running Request, endpoint string)
 	EndProgram(now bvclock.Time, member, program string)
-	ReleaseDone(now bvclock.Time, endpoint, member, program string)
+	ConfirmRelease(now bvclock.Time, endpoint, member, program string)
 	AddSuspects(now bvclock.Time, suspects []Suspect)
 	Tick(now bvclock.Time) []Effect
-	Next() bvclock.Time
+	NextTick() bvclock.Time
 }
 
 // flight is a granted call as the machine sees it.
@@ -154,7 +154,7 @@
 	}
 	machine.reports[report.Name] = report
 	machine.listed[report.Name] = true
-	machine.pool.Report(machine.now, report)
+	machine.pool.UpdateEndpoint(machine.now, report)
 }
 
 // name gives calls that were adopted before the endpoint was listed their
@@ -170,7 +170,7 @@
 func (machine *machine) remove() {
 	name := machine.pickEndpoint()
 	delete(machine.listed, name)
-	machine.pool.Remove(machine.now, name)
+	machine.pool.RemoveEndpoint(machine.now, name)
 }
 
 func (machine *machine) newRequest() Request {
@@ -179,7 +179,7 @@
 	program := fmt.Sprint("p", machine.draw("program", 12))
 	request := Request{
 		ID: machine.lastID, Member: member, Program: program,
-		Priority: machine.draw("priority", 2), Attained: Work(1000 * machine.draw("attained", 3)),
+		Priority: machine.draw("priority", 2), AttainedService: Work(1000 * machine.draw("attained", 3)),
 		PromptTokens: 100 * machine.draw("prompt", 30), OutputTokens: 1 + machine.draw("output", 50),
 		Fingerprint: uint64(machine.draw("fingerprint", 25)), Unrepeatable: machine.draw("unrepeatable", 3) == 0,
 	}
@@ -193,7 +193,7 @@
 func (machine *machine) ask() {
 	request := machine.newRequest()
 	machine.asked[request.ID] = request
-	machine.pool.Ask(machine.now, request)
+	machine.pool.Submit(machine.now, request)
 }
 
 // askAgain repeats the Ask of a call that is over, as a caller does.
@@ -209,7 +209,7 @@
 	machine.answers[id] = 0
 	delete(machine.lapsed, id)
 	delete(machine.ended, machine.asked[id].Member+"/"+machine.asked[id].Program)
-	machine.pool.Ask(machine.now, machine.asked[id])
+	machine.pool.Submit(machine.now, machine.asked[id])
 }
 
 func (machine *machine) withdraw() {
@@ -236,7 +236,7 @@
 func (machine *machine) use() {
 	if used := machine.pickFlight(); used != nil {
 		used.expires = 0
-		machine.pool.Used(machine.now, used.ID)
+		machine.pool.MarkUsed(machine.now, used.ID)
 	}
 }
 
@@ -250,7 +250,7 @@
 	delete(machine.lapsed, id)
 	late.expires = 0
 	machine.flights[id] = late
-	machine.pool.Used(machine.now, id)
+	machine.pool.MarkUsed(machine.now, id)
 }
 
 func (machine *machine) finish() {
@@ -346,13 +346,13 @@
 		return
 	}
 	delete(machine.holds, held{done.Endpoint, report.Incarnation, done.Member, done.Program})
-	machine.pool.ReleaseDone(machine.now, done.Endpoint, done.Member, done.Program)
+	machine.pool.ConfirmRelease(machine.now, done.Endpoint, done.Member, done.Program)
 }
 
 func (machine *machine) addSuspect() {
 	key := suspectKey{member: "a", fingerprint: uint64(1 + machine.draw("fingerprint", 24))}
 	machine.crashes[key] = max(machine.crashes[key], 1)
-	machine.pool.AddSuspects(machine.now, []Suspect{{Member: "a", Fingerprint: key.fingerprint, Crashes: 1, Left: bvclock.Hour}})
+	machine.pool.AddSuspects(machine.now, []Suspect{{Member: "a", Fingerprint: key.fingerprint, Crashes: 1, ExpiresIn: bvclock.Hour}})
 }
 
 func (machine *machine) wait() {
@@ -408,7 +408,7 @@
 	for _, other := range machine.flights {
 		if other.endpoint == grant.Endpoint && other.boot == report.Incarnation {
 			beside++
-			if other.alone || grant.Alone {
+			if other.alone || grant.Isolated {
 				machine.violate("request %d runs beside suspect on %s", request.ID, grant.Endpoint)
 			}
 		}
@@ -419,7 +419,7 @@
 	}
 	machine.grantedSuspect(grant, request, sibling)
 	machine.flights[request.ID] = &flight{
-		Request: request, endpoint: grant.Endpoint, boot: report.Incarnation, expires: grant.Expires, alone: grant.Alone,
+		Request: request, endpoint: grant.Endpoint, boot: report.Incarnation, expires: grant.Expires, alone: grant.Isolated,
 	}
 }
 
@@ -428,13 +428,13 @@
 	if request.Fingerprint == 0 || crashes == 0 {
 		return
 	}
-	if sibling && (grant.Alone || !machine.zones) {
+	if sibling && (grant.Isolated || !machine.zones) {
 		machine.violate("suspect %d runs twice at once", request.ID)
 	}
 	if machine.zones {
 		return // a zone's failure pardons: suspect_test.go shows whom
 	}
-	if !grant.Alone {
+	if !grant.Isolated {
 		machine.violate("suspect %d is not granted alone", request.ID)
 	}
 	if crashes >= poisonousAt {
@@ -466,7 +466,7 @@
 			machine.confirmed(done)
 		}
 		machine.releases = nil
-		next := machine.pool.Next()
+		next := machine.pool.NextTick()
 		if busy {
 			continue
 		}
--- a/bvgate/pool.go
+++ b/bvgate/pool.go
@@ -18,8 +18,8 @@
 //
 //	pool := &bvgate.Pool{}
 //	pool.SetMembers(shares)
-//	pool.Report(now, bvgate.EndpointReport{Name: "engine-1", Slots: 16, CacheTokens: 200_000})
-//	pool.Ask(now, request)
+//	pool.UpdateEndpoint(now, bvgate.EndpointReport{Name: "engine-1", Slots: 16, CacheTokens: 200_000})
+//	pool.Submit(now, request)
 //	for _, effect := range pool.Tick(now) {
 //		switch effect := effect.(type) {
 //		case bvgate.Grant:
@@ -27,13 +27,13 @@
 //		case bvgate.Refusal:
 //			// tell the owner
 //		case bvgate.Release:
-//			// tell the endpoint, and then pool.ReleaseDone
+//			// tell the endpoint, and then pool.ConfirmRelease
 //		}
 //	}
-//	pool.Used(now, request.ID)
+//	pool.MarkUsed(now, request.ID)
 //	pool.Finish(now, bvgate.Finish{ID: request.ID, PromptTokens: 900, OutputTokens: 120, Pause: 300})
 //
-// Tick is called after each event and at the time that Next returns. A host
+// Tick is called after each event and at the time that NextTick returns. A host
 // that begins to decide for a pool is told of running calls with Adopt, of
 // ended programs with EndProgramAt and of suspects with AddSuspects; waiting
 // requests are asked again.
@@ -105,9 +105,9 @@
 	pool.cost = cost
 }
 
-// Ask queues a request; a later Tick grants or refuses it. A request that is
+// Submit queues a request; a later Tick grants or refuses it. A request that is
 // already queued or granted is left as it is.
-func (pool *Pool) Ask(now bvclock.Time, asked Request) {
+func (pool *Pool) Submit(now bvclock.Time, asked Request) {
 	if pool.waiting[asked.ID] != nil || pool.running(asked.ID) {
 		return
 	}
@@ -154,7 +154,7 @@
 	}
 	pool.learnHistory(queued)
 	queued.estimate = pool.cost.Work(asked.PromptTokens-queued.program.cachedTokens(), queued.OutputTokens)
-	queued.level = level(asked.Attained)
+	queued.level = level(asked.AttainedService)
 	queued.start = queued.starts()
 	queued.repeated = pool.repeats(now, &asked)
 	return queued
@@ -272,7 +272,7 @@
 }
 
 // Tick decides and returns what is to be done. It is called after each event
-// and at the time that Next returns.
+// and at the time that NextTick returns.
 func (pool *Pool) Tick(now bvclock.Time) []Effect {
 	pool.now = now
 	pool.ringTimers(now)
@@ -286,9 +286,9 @@
 	return effects
 }
 
-// Next returns when Tick is to be called although nothing happens; 0 means
+// NextTick returns when Tick is to be called although nothing happens; 0 means
 // never.
-func (pool *Pool) Next() bvclock.Time {
+func (pool *Pool) NextTick() bvclock.Time {
 	if len(pool.timers) == 0 {
 		return 0
 	}
@@ -344,5 +344,5 @@
 	pool.begin(now, begun)
 	expires := now.Add(PermitWindow)
 	pool.setTimer(&begun.timer, expires, begun)
-	pool.effects = append(pool.effects, Grant{Request: granted.ID, Endpoint: at.endpoint.name(), Alone: at.alone, Priority: priority(granted.PromptTokens - at.cached), Expires: expires})
+	pool.effects = append(pool.effects, Grant{Request: granted.ID, Endpoint: at.endpoint.name(), Isolated: at.alone, Priority: priority(granted.PromptTokens - at.cached), Expires: expires})
 }
--- a/bvgate/pool_test.go
+++ b/bvgate/pool_test.go
@@ -13,25 +13,25 @@
 	// An owner dies right after it was granted the only slot. The next caller
 	// must not wait for ever: the permit lapses, and its slot is granted again.
 	pool := &Pool{}
-	pool.Report(0, EndpointReport{Name: "a", Slots: 1})
-	pool.Ask(0, Request{ID: 1, Member: "m"})
-	pool.Ask(0, Request{ID: 2, Member: "m"})
+	pool.UpdateEndpoint(0, EndpointReport{Name: "a", Slots: 1})
+	pool.Submit(0, Request{ID: 1, Member: "m"})
+	pool.Submit(0, Request{ID: 2, Member: "m"})
 	require.Equal(t, []Effect{Grant{Request: 1, Endpoint: "a", Priority: highestPriority, Expires: bvclock.Time(PermitWindow)}}, pool.Tick(0))
 
 	lapse := bvclock.Time(PermitWindow)
-	require.Equal(t, lapse, pool.Next())
+	require.Equal(t, lapse, pool.NextTick())
 	require.Equal(t, []Effect{Grant{Request: 2, Endpoint: "a", Priority: highestPriority, Expires: lapse.Add(PermitWindow)}}, pool.Tick(lapse))
 }
 
 func TestUsedPermitDoesNotLapse(t *testing.T) {
 	pool := &Pool{}
-	pool.Report(0, EndpointReport{Name: "a", Slots: 1})
-	pool.Ask(0, Request{ID: 1, Member: "m"})
-	pool.Ask(0, Request{ID: 2, Member: "m"})
+	pool.UpdateEndpoint(0, EndpointReport{Name: "a", Slots: 1})
+	pool.Submit(0, Request{ID: 1, Member: "m"})
+	pool.Submit(0, Request{ID: 2, Member: "m"})
 	pool.Tick(0)
 	now := bvclock.Time(0)
 	for now.Before(bvclock.Time(bvclock.Hour)) {
-		require.True(t, pool.Used(now, 1))
+		require.True(t, pool.MarkUsed(now, 1))
 		now = now.Add(callWindow - 1)
 		require.Empty(t, pool.Tick(now))
 	}
@@ -43,23 +43,23 @@
 	// An owner dies in mid-call, so nobody reports the call's end. Without a
 	// bound the engine would have one slot less for good.
 	pool := &Pool{}
-	pool.Report(0, EndpointReport{Name: "a", Slots: 1})
-	pool.Ask(0, Request{ID: 1, Member: "m"})
-	pool.Ask(0, Request{ID: 2, Member: "m"})
+	pool.UpdateEndpoint(0, EndpointReport{Name: "a", Slots: 1})
+	pool.Submit(0, Request{ID: 1, Member: "m"})
+	pool.Submit(0, Request{ID: 2, Member: "m"})
 	pool.Tick(0)
-	pool.Used(0, 1)
+	pool.MarkUsed(0, 1)
 	require.Len(t, pool.Tick(bvclock.Time(callWindow)), 1)
 }
 
 func TestRequestIsRefusedAtItsDeadline(t *testing.T) {
 	pool := &Pool{}
-	pool.Report(0, EndpointReport{Name: "a", Slots: 1})
-	pool.Ask(0, Request{ID: 1, Member: "m"})
+	pool.UpdateEndpoint(0, EndpointReport{Name: "a", Slots: 1})
+	pool.Submit(0, Request{ID: 1, Member: "m"})
 	require.Len(t, pool.Tick(0), 1)
-	pool.Used(0, 1)
-	pool.Ask(0, Request{ID: 2, Member: "m", Deadline: 5000})
+	pool.MarkUsed(0, 1)
+	pool.Submit(0, Request{ID: 2, Member: "m", Deadline: 5000})
 	require.Empty(t, pool.Tick(0))
-	require.Equal(t, bvclock.Time(5000), pool.Next())
+	require.Equal(t, bvclock.Time(5000), pool.NextTick())
 	effects := pool.Tick(5000)
 	require.Len(t, effects, 1)
 	refusal := effects[0].(Refusal)
@@ -69,7 +69,7 @@
 
 func TestRequestIsRefusedAtOnceWhileNoEndpointIsOpen(t *testing.T) {
 	pool := &Pool{}
-	pool.Ask(0, Request{ID: 1, Member: "m", Deadline: 500})
+	pool.Submit(0, Request{ID: 1, Member: "m", Deadline: 500})
 	effects := pool.Tick(0)
 	require.Len(t, effects, 1)
 	require.Positive(t, effects[0].(Refusal).Err.RetryAfter())
@@ -77,7 +77,7 @@
 
 func TestLeavingEndpointGetsNoGrant(t *testing.T) {
 	pool := &Pool{}
-	pool.Report(0, EndpointReport{Name: "a", Slots: 1, Leaving: true})
-	pool.Ask(0, Request{ID: 1, Member: "m"})
+	pool.UpdateEndpoint(0, EndpointReport{Name: "a", Slots: 1, Leaving: true})
+	pool.Submit(0, Request{ID: 1, Member: "m"})
 	require.Empty(t, pool.Tick(0))
 }
--- a/bvgate/program.go
+++ b/bvgate/program.go
@@ -126,12 +126,12 @@
 // learnHistory takes over where the program's last turn ran, as its owner
 // knows: a host that has just begun to decide for the pool does not.
 func (pool *Pool) learnHistory(queued *request) {
-	at := pool.endpoints[queued.HistoryFrom]
+	at := pool.endpoints[queued.HistoryEndpoint]
 	if at == nil || at.gone || len(queued.program.sites) > 0 || queued.program.key.name == "" {
 		return
 	}
 	site := queued.program.visit(at)
-	site.tokens = min(queued.HistoryHeld, at.report.CacheTokens)
+	site.tokens = min(queued.HistoryTokens, at.report.CacheTokens)
 	at.cache.add(queued.askedAt, site)
 	pool.shrink(queued.askedAt, at)
 	pool.seat(at)
@@ -180,9 +180,9 @@
 	})
 }
 
-// ReleaseDone reports that an endpoint has dropped what it cached for a
+// ConfirmRelease reports that an endpoint has dropped what it cached for a
 // program.
-func (pool *Pool) ReleaseDone(_ bvclock.Time, endpoint, member, program string) {
+func (pool *Pool) ConfirmRelease(_ bvclock.Time, endpoint, member, program string) {
 	released := pool.programs[programKey{member: member, name: program}]
 	at := pool.endpoints[endpoint]
 	if released == nil || at == nil {
--- a/bvgate/regression_test.go
+++ b/bvgate/regression_test.go
@@ -17,8 +17,8 @@
 	// granted again in company, because the call belonged to no endpoint.
 	pool := &Pool{}
 	pool.Adopt(0, Request{ID: 1, Member: "m", Fingerprint: poison}, "a")
-	pool.Report(0, EndpointReport{Name: "a", Incarnation: "1", Slots: 1})
-	pool.Ask(0, Request{ID: 2, Member: "m"})
+	pool.UpdateEndpoint(0, EndpointReport{Name: "a", Incarnation: "1", Slots: 1})
+	pool.Submit(0, Request{ID: 2, Member: "m"})
 	require.Empty(t, pool.Tick(0), "the adopted call takes the slot")
 	pool.Finish(0, Finish{ID: 1, Outcome: Crashed})
 	require.Len(t, pool.Suspects(0), 1)
@@ -26,7 +26,7 @@
 
 func TestRefusalThatCrossesItsWithdrawalIsNotDelivered(t *testing.T) {
 	pool := &Pool{}
-	pool.Ask(0, Request{ID: 1, Member: "m", Deadline: 1})
+	pool.Submit(0, Request{ID: 1, Member: "m", Deadline: 1})
 	pool.Withdraw(0, 1)
 	require.Empty(t, pool.Tick(0))
 }
@@ -36,12 +36,12 @@
 	// the same content that the former deciding host had granted. The suspect
 	// was granted beside it and could crash two engines at once.
 	pool := &Pool{}
-	pool.Report(0, EndpointReport{Name: "a", Slots: 2})
-	pool.Report(0, EndpointReport{Name: "b", Slots: 0})
-	pool.Ask(0, Request{ID: 1, Member: "m"})
+	pool.UpdateEndpoint(0, EndpointReport{Name: "a", Slots: 2})
+	pool.UpdateEndpoint(0, EndpointReport{Name: "b", Slots: 0})
+	pool.Submit(0, Request{ID: 1, Member: "m"})
 	pool.Tick(0)
-	pool.AddSuspects(0, []Suspect{{Member: "m", Fingerprint: poison, Crashes: 1, Left: bvclock.Hour}})
-	pool.Ask(0, Request{ID: 2, Member: "m", Fingerprint: poison})
+	pool.AddSuspects(0, []Suspect{{Member: "m", Fingerprint: poison, Crashes: 1, ExpiresIn: bvclock.Hour}})
+	pool.Submit(0, Request{ID: 2, Member: "m", Fingerprint: poison})
 	require.Empty(t, pool.Tick(0))
 	pool.Adopt(0, Request{ID: 3, Member: "m", Fingerprint: poison}, "b")
 	pool.Finish(0, Finish{ID: 1})
@@ -54,13 +54,13 @@
 	// While an engine is emptied for a suspect, another host tells of its
 	// second crash. It was granted all the same and crashed a third engine.
 	pool := &Pool{}
-	pool.Report(0, EndpointReport{Name: "a", Slots: 2})
-	pool.Ask(0, Request{ID: 1, Member: "m"})
+	pool.UpdateEndpoint(0, EndpointReport{Name: "a", Slots: 2})
+	pool.Submit(0, Request{ID: 1, Member: "m"})
 	pool.Tick(0)
-	pool.AddSuspects(0, []Suspect{{Member: "m", Fingerprint: poison, Crashes: 1, Left: bvclock.Hour}})
-	pool.Ask(0, Request{ID: 2, Member: "m", Fingerprint: poison})
+	pool.AddSuspects(0, []Suspect{{Member: "m", Fingerprint: poison, Crashes: 1, ExpiresIn: bvclock.Hour}})
+	pool.Submit(0, Request{ID: 2, Member: "m", Fingerprint: poison})
 	require.Empty(t, pool.Tick(0))
-	pool.AddSuspects(0, []Suspect{{Member: "m", Fingerprint: poison, Crashes: 2, Left: bvclock.Hour}})
+	pool.AddSuspects(0, []Suspect{{Member: "m", Fingerprint: poison, Crashes: 2, ExpiresIn: bvclock.Hour}})
 	pool.Finish(0, Finish{ID: 1})
 	require.Equal(t, bvverdict.Poisonous, pool.Tick(0)[0].(Refusal).Err.Code())
 }
@@ -70,28 +70,28 @@
 	// the first one's Used arrives: both run there. When the first ended, the
 	// engine was open again and other calls ran beside the second.
 	pool := &Pool{}
-	pool.Report(0, EndpointReport{Name: "a", Slots: 4})
+	pool.UpdateEndpoint(0, EndpointReport{Name: "a", Slots: 4})
 	suspects := []Suspect{
-		{Member: "m", Fingerprint: 1, Crashes: 1, Left: bvclock.Hour},
-		{Member: "m", Fingerprint: 2, Crashes: 1, Left: bvclock.Hour},
+		{Member: "m", Fingerprint: 1, Crashes: 1, ExpiresIn: bvclock.Hour},
+		{Member: "m", Fingerprint: 2, Crashes: 1, ExpiresIn: bvclock.Hour},
 	}
 	pool.AddSuspects(0, suspects)
-	pool.Ask(0, Request{ID: 1, Member: "m", Fingerprint: 1})
+	pool.Submit(0, Request{ID: 1, Member: "m", Fingerprint: 1})
 	require.Len(t, pool.Tick(0), 1)
 	now := bvclock.Time(PermitWindow)
-	pool.Ask(now, Request{ID: 2, Member: "m", Fingerprint: 2})
+	pool.Submit(now, Request{ID: 2, Member: "m", Fingerprint: 2})
 	require.Len(t, pool.Tick(now), 1)
-	pool.Used(now, 2)
-	pool.Used(now, 1)
+	pool.MarkUsed(now, 2)
+	pool.MarkUsed(now, 1)
 	pool.Finish(now, Finish{ID: 1})
-	pool.Ask(now, Request{ID: 3, Member: "m"})
+	pool.Submit(now, Request{ID: 3, Member: "m"})
 	require.Empty(t, pool.Tick(now))
 }
 
 func TestCacheOfAProgramThatEndedAtTimeZeroIsReleased(t *testing.T) {
 	pool := &Pool{}
-	pool.Report(0, EndpointReport{Name: "a", Slots: 1, CacheTokens: 100})
-	pool.Ask(0, Request{ID: 1, Member: "m", Program: "p", PromptTokens: 10})
+	pool.UpdateEndpoint(0, EndpointReport{Name: "a", Slots: 1, CacheTokens: 100})
+	pool.Submit(0, Request{ID: 1, Member: "m", Program: "p", PromptTokens: 10})
 	pool.EndProgram(0, "m", "p")
 	pool.Tick(0)
 	pool.Finish(0, Finish{ID: 1, PromptTokens: 10, OutputTokens: 1})
@@ -103,8 +103,8 @@
 	// and then forgotten until something else happened, which in a quiet pool
 	// is never.
 	pool := &Pool{}
-	pool.Report(0, EndpointReport{Name: "a", Slots: 1})
-	pool.Ask(0, Request{ID: 1, Member: "m", Fingerprint: 1})
-	pool.AddSuspects(0, []Suspect{{Member: "m", Fingerprint: 1, Crashes: 1, Left: bvclock.Hour}})
+	pool.UpdateEndpoint(0, EndpointReport{Name: "a", Slots: 1})
+	pool.Submit(0, Request{ID: 1, Member: "m", Fingerprint: 1})
+	pool.AddSuspects(0, []Suspect{{Member: "m", Fingerprint: 1, Crashes: 1, ExpiresIn: bvclock.Hour}})
 	require.Len(t, pool.Tick(0), 1)
 }
--- a/bvgate/request.go
+++ b/bvgate/request.go
@@ -13,20 +13,20 @@
 
 // Request asks for a permit to make one call to an endpoint of the pool.
 type Request struct {
-	ID           RequestID
-	Member       string
-	Class        string       // row of the operators' table
-	Program      string       // unique within the member
-	Priority     int          // of the row; higher goes first within a member
-	Attained     Work         // service that the program had before this call
-	PromptTokens int          // whole prompt, history included
-	OutputTokens int          // estimate; 0 lets the pool use what it learned
-	HistoryFrom  string       // endpoint that ran the program's last turn, if any
-	HistoryHeld  int          // tokens of the prompt which that endpoint had cached then
-	Fingerprint  uint64       // of the request's content; 0 means none
-	Deadline     bvclock.Time // 0 means none
-	Unrepeatable bool         // never granted twice
-	Attempt      int          // times that it was sent before
+	ID              RequestID
+	Member          string
+	Class           string       // row of the operators' table
+	Program         string       // unique within the member
+	Priority        int          // of the row; higher goes first within a member
+	AttainedService Work         // service that the program had before this call
+	PromptTokens    int          // whole prompt, history included
+	OutputTokens    int          // estimate; 0 lets the pool use what it learned
+	HistoryEndpoint string       // endpoint that ran the program's last turn, if any
+	HistoryTokens   int          // tokens of the prompt which that endpoint had cached then
+	Fingerprint     uint64       // of the request's content; 0 means none
+	Deadline        bvclock.Time // 0 means none
+	Unrepeatable    bool         // never granted twice
+	Attempt         int          // times that it was sent before
 }
 
 //go:generate stringer -type=Outcome -linecomment -output=outcome_string.go
@@ -86,7 +86,7 @@
 	Request  RequestID
 	Endpoint string
 	// Alone is set for a suspect, which runs with no other call beside it.
-	Alone bool
+	Isolated bool
 	// Priority is to be passed to the endpoint; higher goes first.
 	Priority int
 	// Expires is when the permit lapses, on the pool's clock, unless Used is
--- a/bvgate/retry_test.go
+++ b/bvgate/retry_test.go
@@ -11,7 +11,7 @@
 // Guards against a spent retry budget that never recovers.
 func TestSpentRetryBudgetRecoversWithTime(t *testing.T) {
 	engines := newEngines(1, 4)
-	repeat := Request{Member: "m", Attained: 1, Fingerprint: 7, OutputTokens: 50, Attempt: 1}
+	repeat := Request{Member: "m", AttainedService: 1, Fingerprint: 7, OutputTokens: 50, Attempt: 1}
 	refused := false
 	for range 200 {
 		refused = refused || !failOnce(engines, repeat)
@@ -34,7 +34,7 @@
 		engines.pool.Withdraw(engines.now, id)
 		return true
 	}
-	engines.pool.Used(engines.now, id)
+	engines.pool.MarkUsed(engines.now, id)
 	engines.pool.Finish(engines.now, Finish{ID: id, Outcome: Canceled})
 	return true
 }
--- a/bvgate/sharing_test.go
+++ b/bvgate/sharing_test.go
@@ -45,9 +45,9 @@
 }
 
 func newEngines(count, slots int) *engines {
-	engines := &engines{pool: &Pool{limits: Limits{Wait: bvclock.Hour}}, asked: make(map[RequestID]Request), work: make(map[string]float64)}
+	engines := &engines{pool: &Pool{limits: Limits{MaxBacklog: bvclock.Hour}}, asked: make(map[RequestID]Request), work: make(map[string]float64)}
 	for i := range count {
-		engines.pool.Report(0, EndpointReport{Name: endpointName(i), Slots: slots, CacheTokens: 200_000})
+		engines.pool.UpdateEndpoint(0, EndpointReport{Name: endpointName(i), Slots: slots, CacheTokens: 200_000})
 	}
 	return engines
 }
@@ -60,7 +60,7 @@
 	engines.nextID++
 	request.ID = engines.nextID
 	engines.asked[request.ID] = request
-	engines.pool.Ask(engines.now, request)
+	engines.pool.Submit(engines.now, request)
 	return request.ID
 }
 
@@ -74,7 +74,7 @@
 		}
 		request := engines.asked[grant.Request]
 		engines.started = append(engines.started, request)
-		engines.pool.Used(engines.now, grant.Request)
+		engines.pool.MarkUsed(engines.now, grant.Request)
 		engines.work[request.Member] += float64(request.PromptTokens)/10 + float64(request.OutputTokens)
 		took := bvclock.Duration(request.PromptTokens/8 + 17*request.OutputTokens)
 		heap.Push(&engines.ends, end{at: engines.now.Add(took), id: grant.Request})
@@ -163,9 +163,9 @@
 	engines := newEngines(1, 1)
 	engines.ask(Request{Member: "m", Program: "running", OutputTokens: 1})
 	engines.tick()
-	engines.ask(Request{Member: "m", Program: "long", Attained: 10_000, OutputTokens: 1})
+	engines.ask(Request{Member: "m", Program: "long", AttainedService: 10_000, OutputTokens: 1})
 	engines.ask(Request{Member: "m", Program: "short", OutputTokens: 1})
-	engines.ask(Request{Member: "m", Program: "urgent", Attained: 10_000, Priority: 1, OutputTokens: 1})
+	engines.ask(Request{Member: "m", Program: "urgent", AttainedService: 10_000, Priority: 1, OutputTokens: 1})
 	for range 3 {
 		engines.run()
 		engines.tick()
@@ -183,7 +183,7 @@
 	engines := newEngines(1, 1)
 	engines.ask(Request{Member: "m", Program: "new", OutputTokens: 50})
 	engines.tick()
-	long := engines.ask(Request{Member: "m", Program: "long", Attained: 1e9, OutputTokens: 1})
+	long := engines.ask(Request{Member: "m", Program: "long", AttainedService: 1e9, OutputTokens: 1})
 	for engines.pool.calls[long] == nil {
 		require.Less(t, engines.now, bvclock.Time(bvclock.Duration(lastLevel)*ageStep+bvclock.Minute))
 		for range 2 {
@@ -208,16 +208,16 @@
 
 func TestEndedProgramIsReleasedUntilConfirmed(t *testing.T) {
 	pool := &Pool{}
-	pool.Report(0, EndpointReport{Name: "a", Slots: 1, CacheTokens: 1000})
-	pool.Ask(0, Request{ID: 1, Member: "m", Program: "p", PromptTokens: 10})
+	pool.UpdateEndpoint(0, EndpointReport{Name: "a", Slots: 1, CacheTokens: 1000})
+	pool.Submit(0, Request{ID: 1, Member: "m", Program: "p", PromptTokens: 10})
 	pool.Tick(0)
 	pool.Finish(1, Finish{ID: 1, PromptTokens: 10, OutputTokens: 5, Pause: -1})
 	release := []Effect{Release{Endpoint: "a", Member: "m", Program: "p"}}
 	require.Equal(t, release, pool.Tick(1))
 	require.Empty(t, pool.Tick(2))
-	require.Equal(t, release, pool.Tick(pool.Next()))
-	pool.ReleaseDone(2000, "a", "m", "p")
-	require.Zero(t, pool.Next())
+	require.Equal(t, release, pool.Tick(pool.NextTick()))
+	pool.ConfirmRelease(2000, "a", "m", "p")
+	require.Zero(t, pool.NextTick())
 	require.Empty(t, pool.programs)
 }
 
@@ -225,13 +225,13 @@
 	// A program's owner dies, and its caller never comes back, so that nobody
 	// ends it. Its cache was held until other programs pushed it out.
 	pool := &Pool{}
-	pool.Report(0, EndpointReport{Name: "a", Slots: 1, CacheTokens: 1000})
-	pool.Ask(0, Request{ID: 1, Member: "m", Program: "p", PromptTokens: 10})
+	pool.UpdateEndpoint(0, EndpointReport{Name: "a", Slots: 1, CacheTokens: 1000})
+	pool.Submit(0, Request{ID: 1, Member: "m", Program: "p", PromptTokens: 10})
 	pool.Tick(0)
 	pool.Finish(1, Finish{ID: 1, PromptTokens: 10, OutputTokens: 5})
 	require.Empty(t, pool.Tick(1))
-	require.Equal(t, []Effect{Release{Endpoint: "a", Member: "m", Program: "p"}}, pool.Tick(pool.Next()))
-	pool.ReleaseDone(pool.now, "a", "m", "p")
+	require.Equal(t, []Effect{Release{Endpoint: "a", Member: "m", Program: "p"}}, pool.Tick(pool.NextTick()))
+	pool.ConfirmRelease(pool.now, "a", "m", "p")
 	require.Empty(t, pool.programs)
-	require.Zero(t, pool.Next())
+	require.Zero(t, pool.NextTick())
 }
--- a/bvgate/snapshot.go
+++ b/bvgate/snapshot.go
@@ -14,7 +14,7 @@
 	Queued        int
 	Running       int
 	EstimatedWait bvclock.Duration // of a new program's first request
-	Served        Work             // since this pool was first decided here
+	ServedWork    Work             // since this pool was first decided here
 }
 
 // EndpointStatus is an endpoint's state in a pool.
@@ -36,7 +36,7 @@
 			Queued:        found.queued,
 			Running:       found.running,
 			EstimatedWait: pool.wait(pool.now, found, 0, 0),
-			Served:        found.served,
+			ServedWork:    found.served,
 		})
 	}
 	for _, name := range pool.names {
--- a/bvgate/suspect.go
+++ b/bvgate/suspect.go
@@ -39,7 +39,7 @@
 	Member      string
 	Fingerprint uint64
 	Crashes     int
-	Left        bvclock.Duration // until it is forgotten
+	ExpiresIn   bvclock.Duration // until it is forgotten
 }
 
 func keyOf(request *Request) suspectKey {
@@ -68,7 +68,7 @@
 	suspects := make([]Suspect, 0, len(pool.suspicions))
 	for key, found := range pool.suspicions {
 		suspects = append(suspects, Suspect{
-			Member: key.member, Fingerprint: key.fingerprint, Crashes: found.crashes, Left: found.timer.at.Sub(now),
+			Member: key.member, Fingerprint: key.fingerprint, Crashes: found.crashes, ExpiresIn: found.timer.at.Sub(now),
 		})
 	}
 	slices.SortFunc(suspects, func(a, b Suspect) int {
@@ -78,19 +78,19 @@
 }
 
 // Suspected reports whether a crash is held against a request content.
-func (pool *Pool) Suspected(member string, fingerprint uint64) bool {
+func (pool *Pool) IsSuspect(member string, fingerprint uint64) bool {
 	return pool.suspicions[suspectKey{member: member, fingerprint: fingerprint}] != nil
 }
 
 // SuspectedCrashes returns how many crashes were seen here that made suspects.
 // What other hosts tell does not count.
-func (pool *Pool) SuspectedCrashes() uint64 { return pool.suspectedCrashes }
+func (pool *Pool) SuspectCrashes() uint64 { return pool.suspectedCrashes }
 
 // AddSuspects learns from another host. The higher number of crashes counts;
 // they are not added up, because hosts tell each other of the same crash.
 func (pool *Pool) AddSuspects(now bvclock.Time, suspects []Suspect) {
 	for _, suspect := range suspects {
-		if suspect.Left <= 0 || suspect.Fingerprint == 0 {
+		if suspect.ExpiresIn <= 0 || suspect.Fingerprint == 0 {
 			continue
 		}
 		key := suspectKey{member: suspect.Member, fingerprint: suspect.Fingerprint}
@@ -98,7 +98,7 @@
 		if known != nil && known.crashes >= suspect.Crashes {
 			continue
 		}
-		pool.suspect(now, key, suspect.Crashes, min(suspect.Left, suspicionKept))
+		pool.suspect(now, key, suspect.Crashes, min(suspect.ExpiresIn, suspicionKept))
 	}
 }
 
--- a/bvgate/suspect_test.go
+++ b/bvgate/suspect_test.go
@@ -24,7 +24,7 @@
 	}
 	report := at.report
 	report.Incarnation += "'"
-	engines.pool.Report(engines.now, report)
+	engines.pool.UpdateEndpoint(engines.now, report)
 	return lost
 }
 
@@ -32,7 +32,7 @@
 	var effects []Effect
 	for range 20 {
 		effects = append(effects, engines.tick()...)
-		if next := engines.pool.Next(); next != 0 && next.Before(engines.now.Add(2*bvclock.Minute)) {
+		if next := engines.pool.NextTick(); next != 0 && next.Before(engines.now.Add(2*bvclock.Minute)) {
 			engines.now = max(next, engines.now)
 		}
 	}
@@ -69,7 +69,7 @@
 	effects := engines.tick()
 	alone, ok := grantOf(effects, again)
 	require.True(t, ok)
-	require.True(t, alone.Alone)
+	require.True(t, alone.Isolated)
 	other, _ := grantOf(effects, beside)
 	require.NotEqual(t, alone.Endpoint, other.Endpoint)
 
@@ -92,14 +92,14 @@
 	alone := engines.ask(Request{Member: "m", Fingerprint: 1, OutputTokens: 10})
 	grant, ok := grantOf(engines.settle(), alone)
 	require.True(t, ok)
-	require.True(t, grant.Alone)
+	require.True(t, grant.Isolated)
 	engines.run()
 	require.Empty(t, engines.pool.Suspects(engines.now))
 }
 
 func TestSuspectNeverRunsOnTwoEndpointsAtOnce(t *testing.T) {
 	engines := newEngines(4, 4)
-	engines.pool.AddSuspects(0, []Suspect{{Member: "m", Fingerprint: poison, Crashes: 1, Left: bvclock.Hour}})
+	engines.pool.AddSuspects(0, []Suspect{{Member: "m", Fingerprint: poison, Crashes: 1, ExpiresIn: bvclock.Hour}})
 	first := engines.ask(Request{Member: "m", Fingerprint: poison, OutputTokens: 10})
 	second := engines.ask(Request{Member: "m", Fingerprint: poison, OutputTokens: 10})
 	effects := engines.settle()
@@ -122,7 +122,7 @@
 		if i > 2 {
 			report.Zone = "left"
 		}
-		engines.pool.Report(0, report)
+		engines.pool.UpdateEndpoint(0, report)
 	}
 	for i := range 24 {
 		engines.ask(Request{Member: "m", Fingerprint: uint64(i + 1), OutputTokens: 10})
@@ -137,18 +137,18 @@
 
 func TestHostsTellEachOtherOfSuspects(t *testing.T) {
 	pool := &Pool{}
-	pool.AddSuspects(0, []Suspect{{Member: "m", Fingerprint: 7, Crashes: 2, Left: bvclock.Minute}})
-	pool.AddSuspects(0, []Suspect{{Member: "m", Fingerprint: 7, Crashes: 1, Left: bvclock.Hour}})
-	require.Equal(t, []Suspect{{Member: "m", Fingerprint: 7, Crashes: 2, Left: bvclock.Minute}}, pool.Suspects(0))
+	pool.AddSuspects(0, []Suspect{{Member: "m", Fingerprint: 7, Crashes: 2, ExpiresIn: bvclock.Minute}})
+	pool.AddSuspects(0, []Suspect{{Member: "m", Fingerprint: 7, Crashes: 1, ExpiresIn: bvclock.Hour}})
+	require.Equal(t, []Suspect{{Member: "m", Fingerprint: 7, Crashes: 2, ExpiresIn: bvclock.Minute}}, pool.Suspects(0))
 	pool.Tick(bvclock.Time(bvclock.Minute))
 	require.Empty(t, pool.Suspects(bvclock.Time(bvclock.Minute)))
 }
 
 func TestMemberCannotFillTheTableOfSuspects(t *testing.T) {
 	pool := &Pool{}
-	pool.AddSuspects(0, []Suspect{{Member: "other", Fingerprint: 7, Crashes: 1, Left: bvclock.Minute}})
+	pool.AddSuspects(0, []Suspect{{Member: "other", Fingerprint: 7, Crashes: 1, ExpiresIn: bvclock.Minute}})
 	for i := range 3 * suspicionLimit {
-		pool.AddSuspects(0, []Suspect{{Member: "m", Fingerprint: uint64(i + 1), Crashes: 1, Left: bvclock.Minute}})
+		pool.AddSuspects(0, []Suspect{{Member: "m", Fingerprint: uint64(i + 1), Crashes: 1, ExpiresIn: bvclock.Minute}})
 	}
 	require.Len(t, pool.Suspects(0), suspicionLimit+1)
 }
--- a/bvowner/latency.go
+++ b/bvowner/latency.go
@@ -8,7 +8,7 @@
 )
 
 // Measure counts what an owner does.
-type Measure interface {
+type Metrics interface {
 	Add(name string, delta int64)
 	Observe(name string, duration bvclock.Duration)
 }
--- a/bvowner/owner.go
+++ b/bvowner/owner.go
@@ -42,37 +42,37 @@
 }
 
 // Rows is the operators' table in force on this host.
-type Rows interface {
+type Table interface {
 	// Row returns the row of a call, or the refusal of a call that has none.
 	Row(member, class string) (bvtable.Row, error)
 }
 
 // Addresses finds endpoints by name.
-type Addresses interface {
+type EndpointList interface {
 	Endpoint(name string) (bvplatform.Endpoint, bool)
 	// Engines returns the names of all model engines.
 	Engines() []string
 	// Gone reports whether an endpoint and all that it held is no more.
-	Gone(name string) bool
+	IsGone(name string) bool
 }
 
 // Parts are what an owner works with.
 type Parts struct {
-	Clock     bvclock.Clock
-	Store     bvplatform.Store
-	Committer Committer
-	Permits   Permits
-	Endpoints Endpoints
-	Addresses Addresses
-	Rows      Rows
-	Log       logrus.FieldLogger
-	Measure   Measure // may be nil
+	Clock        bvclock.Clock
+	Store        bvplatform.Store
+	Committer    Committer
+	Permits      Permits
+	Endpoints    Endpoints
+	EndpointList EndpointList
+	Table        Table
+	Log          logrus.FieldLogger
+	Metrics      Metrics // may be nil
 }
 
 // Owner runs programs. It is safe for concurrent use.
 type Owner struct {
 	parts    Parts
-	measure  Measure
+	measure  Metrics
 	mutex    sync.Mutex
 	ledger   *bvledger.Ledger
 	sessions map[bvledger.CallID]*session
@@ -85,7 +85,7 @@
 
 // New returns an owner; incarnation names this process and no other.
 func New(incarnation string, parts Parts) *Owner {
-	measure := parts.Measure
+	measure := parts.Metrics
 	if measure == nil {
 		measure = noMeasure{}
 	}
@@ -140,7 +140,7 @@
 }
 
 // Committed tells the ledger the outcome of an entry.
-func (owner *Owner) Committed(id bvledger.EntryID, version int64, err error) {
+func (owner *Owner) ReportCommit(id bvledger.EntryID, version int64, err error) {
 	owner.do(func(now bvclock.Time) { owner.ledger.Committed(now, id, version, err) })
 }
 
@@ -209,14 +209,14 @@
 }
 
 // Left reports whether every program has been handed over.
-func (owner *Owner) Left() bool {
+func (owner *Owner) HasLeft() bool {
 	owner.mutex.Lock()
 	defer owner.mutex.Unlock()
 	return owner.ledger.Programs() == 0
 }
 
 // Programs returns how many programs of a member this host holds.
-func (owner *Owner) Programs(member string) int {
+func (owner *Owner) ProgramCount(member string) int {
 	owner.mutex.Lock()
 	defer owner.mutex.Unlock()
 	return owner.ledger.ProgramsOf(member)
@@ -224,7 +224,7 @@
 
 // Reclaim ends programs that nobody ends: rows are all head rows, and live
 // tells whether the owner of a row still runs.
-func (owner *Owner) Reclaim(rows []bvplatform.Row, live func(owner string) bool) {
+func (owner *Owner) ReclaimPrograms(rows []bvplatform.Row, live func(owner string) bool) {
 	owner.do(func(now bvclock.Time) { owner.ledger.ReclaimScan(now, rows, live, longestIdle) })
 }
 
@@ -243,7 +243,7 @@
 }
 
 // Idle reports whether no call is under way.
-func (owner *Owner) Idle() bool {
+func (owner *Owner) IsIdle() bool {
 	owner.mutex.Lock()
 	defer owner.mutex.Unlock()
 	return len(owner.sessions) == 0
@@ -272,7 +272,7 @@
 
 // open enters a call at the ledger.
 func (owner *Owner) open(ctx context.Context, call *bvpeer.Call) (*session, error) {
-	row, err := owner.parts.Rows.Row(call.GetMember(), call.GetClass())
+	row, err := owner.parts.Table.Row(call.GetMember(), call.GetClass())
 	if err != nil {
 		return nil, err
 	}
--- a/bvowner/release.go
+++ b/bvowner/release.go
@@ -33,9 +33,9 @@
 // releaseEverywhere reports whether no endpoint holds anything of the program
 // any more.
 func (owner *Owner) releaseEverywhere(ctx context.Context, key bvledger.ProgramKey) bool {
-	engines := owner.parts.Addresses.Engines()
+	engines := owner.parts.EndpointList.Engines()
 	if len(engines) == 0 {
-		return owner.parts.Addresses.Gone(bvledger.AnyEndpoint) // or no list has come yet
+		return owner.parts.EndpointList.IsGone(bvledger.AnyEndpoint) // or no list has come yet
 	}
 	all := true
 	for _, endpoint := range engines {
@@ -47,9 +47,9 @@
 // releaseAt reports whether the endpoint holds nothing of the program any
 // more. One that is gone has lost its memory.
 func (owner *Owner) releaseAt(ctx context.Context, key bvledger.ProgramKey, name string) bool {
-	endpoint, found := owner.parts.Addresses.Endpoint(name)
+	endpoint, found := owner.parts.EndpointList.Endpoint(name)
 	if !found {
-		return owner.parts.Addresses.Gone(name)
+		return owner.parts.EndpointList.IsGone(name)
 	}
 	owner.parts.Permits.EndProgram(ctx, bvpermit.PoolOf(endpoint), key.Member, key.Program)
 	err := owner.parts.Endpoints.Release(ctx, endpoint.Address, key.Member, key.Program)
--- a/bvowner/resume.go
+++ b/bvowner/resume.go
@@ -15,7 +15,7 @@
 // to be run anew.
 func (session *session) resume(ctx context.Context, start bvledger.Start) (bvledger.Result, bool) {
 	position := session.call.GetResume()
-	endpoint, found := session.owner.parts.Addresses.Endpoint(position.GetEndpoint())
+	endpoint, found := session.owner.parts.EndpointList.Endpoint(position.GetEndpoint())
 	if !found || session.call.GetModel() == nil {
 		return session.lostStream()
 	}
--- a/bvowner/start.go
+++ b/bvowner/start.go
@@ -93,7 +93,7 @@
 		permit.Finish(&bvpeer.PermitFinish{Outcome: int32(bvgate.Unused)})
 		return failed(refused), refused.Code() == bvverdict.Overloaded
 	}
-	permit.Use()
+	permit.MarkUsed()
 	if session.call.GetModel() != nil {
 		return session.chat(ctx, start, permit, try)
 	}
@@ -104,7 +104,7 @@
 // been paused since the permit or the window of an unrepeatable request was
 // given: both clocks are read again, because a paused host does not notice.
 func (session *session) checkStart(permit *bvpermit.Permit) *bvverdict.Error {
-	if !permit.Valid() {
+	if !permit.IsValid() {
 		return bvverdict.Refuse(bvverdict.Overloaded, "the permit lapsed before it was used")
 	}
 	owner := session.owner
--- a/bvpermit/client.go
+++ b/bvpermit/client.go
@@ -71,12 +71,12 @@
 
 // Valid reports whether the permit may still be used. A holder that was paused
 // past the lapse must ask again: its slot has been given to another call.
-func (permit *Permit) Valid() bool {
+func (permit *Permit) IsValid() bool {
 	return permit.client.clock.Now().Before(permit.lapses)
 }
 
 // Use reports that the call is sent.
-func (permit *Permit) Use() {
+func (permit *Permit) MarkUsed() {
 	permit.mutex.Lock()
 	defer permit.mutex.Unlock()
 	permit.line.use()
@@ -149,7 +149,7 @@
 	_, span := bvtrace.Start(ctx, "queue")
 	defer span.End(nil)
 	client.local.tellBefore(ctx, ask)
-	ticket := client.local.Ask(ask)
+	ticket := client.local.Submit(ask)
 	select {
 	case decision := <-ticket.Decision():
 		return client.permitOf(ask, decision, localLine{ticket})
--- a/bvpermit/line.go
+++ b/bvpermit/line.go
@@ -14,7 +14,7 @@
 	ticket *Ticket
 }
 
-func (line localLine) use() { line.ticket.Used() }
+func (line localLine) use() { line.ticket.MarkUsed() }
 
 func (line localLine) finish(finish *bvpeer.PermitFinish) { line.ticket.Finish(finish) }
 
@@ -124,7 +124,7 @@
 	running.RunningOn = endpoint
 	for _, host := range client.view.Candidates(client.clock.Now(), "pool/"+ask.GetPool()) {
 		if host.Name == client.view.Self().Name {
-			return localLine{client.local.Ask(running)}
+			return localLine{client.local.Submit(running)}
 		}
 		line, err := client.open(ctx, host, running)
 		if err == nil {
--- a/bvpermit/pool.go
+++ b/bvpermit/pool.go
@@ -43,12 +43,12 @@
 		for _, endpoint := range endpoints {
 			listed[endpoint.Name] = true
 			pool.addresses[endpoint.Name] = endpoint.Address
-			pool.decisions.Report(now, reportOf(endpoint, now))
+			pool.decisions.UpdateEndpoint(now, reportOf(endpoint, now))
 		}
 		for name := range pool.addresses {
 			if !listed[name] {
 				delete(pool.addresses, name)
-				pool.decisions.Remove(now, name)
+				pool.decisions.RemoveEndpoint(now, name)
 			}
 		}
 		pool.work.sample(now, &pool.decisions)
@@ -83,7 +83,7 @@
 
 // schedule arranges the tick that time alone calls for.
 func (pool *pool) schedule(now bvclock.Time) {
-	next := pool.decisions.Next()
+	next := pool.decisions.NextTick()
 	if next == 0 {
 		pool.alarm.Clear()
 		return
@@ -140,7 +140,7 @@
 		return
 	}
 	pool.do(func(now bvclock.Time) {
-		pool.decisions.ReleaseDone(now, release.Endpoint, release.Member, release.Program)
+		pool.decisions.ConfirmRelease(now, release.Endpoint, release.Member, release.Program)
 	})
 }
 
@@ -155,26 +155,26 @@
 			pool.decisions.Adopt(now, request, ask.GetRunningOn())
 			return
 		}
-		pool.decisions.Ask(now, request)
+		pool.decisions.Submit(now, request)
 	})
 	return ticket
 }
 
 func requestOf(id bvgate.RequestID, ask *bvpeer.PermitAsk, now bvclock.Time) bvgate.Request {
 	request := bvgate.Request{
-		ID:           id,
-		Member:       ask.GetMember(),
-		Class:        ask.GetClass(),
-		Program:      ask.GetProgram(),
-		Priority:     int(ask.GetPriority()),
-		Attained:     bvgate.Work(ask.GetAttained()),
-		PromptTokens: int(ask.GetPromptTokens()),
-		OutputTokens: int(ask.GetOutputTokens()),
-		HistoryFrom:  ask.GetHistoryFrom(),
-		HistoryHeld:  int(ask.GetHistoryHeld()),
-		Fingerprint:  ask.GetFingerprint(),
-		Unrepeatable: ask.GetUnrepeatable(),
-		Attempt:      int(ask.GetAttempt()),
+		ID:              id,
+		Member:          ask.GetMember(),
+		Class:           ask.GetClass(),
+		Program:         ask.GetProgram(),
+		Priority:        int(ask.GetPriority()),
+		AttainedService: bvgate.Work(ask.GetAttained()),
+		PromptTokens:    int(ask.GetPromptTokens()),
+		OutputTokens:    int(ask.GetOutputTokens()),
+		HistoryEndpoint: ask.GetHistoryFrom(),
+		HistoryTokens:   int(ask.GetHistoryHeld()),
+		Fingerprint:     ask.GetFingerprint(),
+		Unrepeatable:    ask.GetUnrepeatable(),
+		Attempt:         int(ask.GetAttempt()),
 	}
 	if ask.GetDeadlineMs() > 0 {
 		request.Deadline = now.Add(bvclock.Duration(ask.GetDeadlineMs()))
--- a/bvpermit/server.go
+++ b/bvpermit/server.go
@@ -12,7 +12,7 @@
 //	server.Update(endpoints, shares)
 //	client := bvpermit.NewClient(clock, view, peers, server, log)
 //	permit, err := client.Acquire(ctx, ask)
-//	permit.Use()
+//	permit.MarkUsed()
 //	defer permit.Finish(outcome)
 package bvpermit
 
@@ -88,14 +88,14 @@
 }
 
 // Serves reports whether any endpoint of the pool is known.
-func (server *Server) Serves(name string) bool {
+func (server *Server) HasEndpoints(name string) bool {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	return len(server.endpoints[name]) > 0
 }
 
 // Ask enters a request at its pool.
-func (server *Server) Ask(ask *bvpeer.PermitAsk) *Ticket {
+func (server *Server) Submit(ask *bvpeer.PermitAsk) *Ticket {
 	return server.pool(ask.GetPool()).ask(ask)
 }
 
@@ -137,7 +137,7 @@
 	if ask.GetRunningOn() == "" {
 		server.tellBefore(stream.Context(), ask)
 	}
-	ticket := server.Ask(ask)
+	ticket := server.Submit(ask)
 	events := receive(stream)
 	if ask.GetRunningOn() == "" {
 		if !server.decide(stream, ticket, events) {
@@ -184,7 +184,7 @@
 func (server *Server) follow(ticket *Ticket, events <-chan *bvpeer.PermitEvent) {
 	for event := range events {
 		if event.GetUsed() != nil {
-			ticket.Used()
+			ticket.MarkUsed()
 		}
 		if finish := event.GetFinish(); finish != nil {
 			ticket.Finish(finish)
--- a/bvpermit/status.go
+++ b/bvpermit/status.go
@@ -18,7 +18,7 @@
 // MemberStatus is a member's state in a pool.
 type MemberStatus struct {
 	bvgate.MemberStatus
-	Work bvgate.Work // that it was granted here in the last WorkWindow
+	RecentWork bvgate.Work // that it was granted here in the last WorkWindow
 }
 
 // Status returns the state of the pools that this host decides for or has
@@ -44,7 +44,7 @@
 	snapshot := pool.decisions.Snapshot()
 	status := PoolStatus{Pool: pool.name, Endpoints: snapshot.Endpoints}
 	for _, member := range snapshot.Members {
-		status.Members = append(status.Members, MemberStatus{MemberStatus: member, Work: pool.work.recent(member)})
+		status.Members = append(status.Members, MemberStatus{MemberStatus: member, RecentWork: pool.work.recent(member)})
 	}
 	return status
 }
@@ -74,7 +74,7 @@
 	}
 	served := make(map[string]bvgate.Work)
 	for _, member := range decisions.Snapshot().Members {
-		served[member.Member] = member.Served
+		served[member.Member] = member.ServedWork
 	}
 	log.samples = append(log.samples, workSample{at: now, served: served})
 	for len(log.samples) > 1 && now.Sub(log.samples[1].at) >= WorkWindow {
@@ -86,7 +86,7 @@
 // estimate can make it negative, which would only puzzle a reader.
 func (log *workLog) recent(member bvgate.MemberStatus) bvgate.Work {
 	if len(log.samples) == 0 {
-		return member.Served
+		return member.ServedWork
 	}
-	return max(member.Served-log.samples[0].served[member.Member], 0)
+	return max(member.ServedWork-log.samples[0].served[member.Member], 0)
 }
--- a/bvpermit/suspect.go
+++ b/bvpermit/suspect.go
@@ -34,7 +34,7 @@
 			Member:      suspect.GetMember(),
 			Fingerprint: suspect.GetFingerprint(),
 			Crashes:     int(suspect.GetCrashes()),
-			Left:        bvclock.Duration(suspect.GetLeftMs()),
+			ExpiresIn:   bvclock.Duration(suspect.GetLeftMs()),
 		})
 	}
 	pool := server.pool(told.GetPool())
@@ -86,13 +86,13 @@
 func (pool *pool) suspected(ask *bvpeer.PermitAsk) bool {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
-	return pool.decisions.Suspected(ask.GetMember(), ask.GetFingerprint())
+	return pool.decisions.IsSuspect(ask.GetMember(), ask.GetFingerprint())
 }
 
 func (pool *pool) suspectedCrashes() uint64 {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
-	return pool.decisions.SuspectedCrashes()
+	return pool.decisions.SuspectCrashes()
 }
 
 // ShareSuspects tells the hosts that would decide next of this host's suspects.
@@ -104,7 +104,7 @@
 }
 
 // SuspectsTold returns how many times a host took this host's suspects.
-func (client *Client) SuspectsTold() int64 { return client.told.Load() }
+func (client *Client) SuspectsSent() int64 { return client.told.Load() }
 
 // share tells the hosts that would decide next of one pool's suspects. Only
 // the host that decides tells, or a suspect that it has cleared would come back
@@ -144,7 +144,7 @@
 			Member:      suspect.Member,
 			Fingerprint: suspect.Fingerprint,
 			Crashes:     int32(suspect.Crashes),
-			LeftMs:      int64(suspect.Left),
+			LeftMs:      int64(suspect.ExpiresIn),
 		})
 	}
 	return message
--- a/bvpermit/ticket.go
+++ b/bvpermit/ticket.go
@@ -27,10 +27,10 @@
 	}
 }
 
-// Used reports that the call was sent, so that the permit no longer lapses.
-func (ticket *Ticket) Used() {
+// MarkUsed reports that the call was sent, so that the permit no longer lapses.
+func (ticket *Ticket) MarkUsed() {
 	ticket.pool.do(func(now bvclock.Time) {
-		ticket.pool.decisions.Used(now, ticket.id)
+		ticket.pool.decisions.MarkUsed(now, ticket.id)
 	})
 }
 
