--- a/bvbudget/grant.go
+++ b/bvbudget/grant.go
@@ -29,7 +29,7 @@
 
 // over reports whether the program can't come back any more.
 func (grant *grant) over(now bvclock.Time) bool {
-	return now.Sub(grant.usedAt) > grant.retain+bvlease.LongestProgram
+	return now.Sub(grant.usedAt) > grant.retain+bvlease.MaxProgramTime
 }
 
 // half is how many tokens each half has. The two may pass the budget together by
--- a/bvbudget/half_test.go
+++ b/bvbudget/half_test.go
@@ -195,7 +195,7 @@
 	world, _ := newHalvesWorld()
 	require.NoError(t, world.reserve("b", "p", false))
 	require.Len(t, world.allocators["a"].grants, 1)
-	world.clock.Advance(bvclock.Minute + bvlease.LongestProgram + 1)
+	world.clock.Advance(bvclock.Minute + bvlease.MaxProgramTime + 1)
 	world.allocators["a"].Tidy(context.Background())
 	require.Empty(t, world.allocators["a"].grants)
 }
--- a/bvcommit/committer.go
+++ b/bvcommit/committer.go
@@ -13,9 +13,9 @@
 //	committer.Add(entry)
 //	for _, effect := range committer.Tick(now) {
 //		switch effect := effect.(type) {
-//		case bvcommit.Write: // store.Commit, then committer.Wrote(now, version, err)
-//		case bvcommit.Read:  // store.Read of the key, then committer.WasRead(now, row, err)
-//		case bvcommit.Done:  // ledger.Committed(now, effect.Entry, effect.Version, effect.Err)
+//		case bvcommit.Write: // store.Commit, then committer.HandleWrite(now, version, err)
+//		case bvcommit.Read:  // store.Read of the key, then committer.HandleRead(now, row, err)
+//		case bvcommit.Done:  // ledger.HandleCommit(now, effect.Entry, effect.Version, effect.Err)
 //		}
 //	}
 //	// sleep until committer.Next() or the next event, then Tick again
@@ -41,12 +41,12 @@
 // Effect is something that the committer wants done.
 type Effect interface{ effect() }
 
-// Write wants the transaction committed. Tell the outcome by Wrote.
+// Write wants the transaction committed. Tell the outcome by HandleWrite.
 type Write struct {
 	Transaction bvplatform.Transaction
 }
 
-// Read wants one row read. Tell the outcome by WasRead.
+// Read wants one row read. Tell the outcome by HandleRead.
 type Read struct {
 	Key string
 }
@@ -131,8 +131,8 @@
 	return committer.earned.Add(-saved)
 }
 
-// SetMax bounds a transaction; an entry that is larger goes alone.
-func (committer *Committer) SetMax(entries, bytes int) {
+// SetMaxBatch bounds a transaction; an entry that is larger goes alone.
+func (committer *Committer) SetMaxBatch(entries, bytes int) {
 	committer.maxEntries = entries
 	committer.maxBytes = bytes
 }
--- a/bvcommit/committer_test.go
+++ b/bvcommit/committer_test.go
@@ -85,10 +85,10 @@
 		switch effect := effect.(type) {
 		case bvcommit.Write:
 			version, err := bench.write(effect.Transaction)
-			bench.committer.Wrote(bench.now, version, err)
+			bench.committer.HandleWrite(bench.now, version, err)
 		case bvcommit.Read:
 			rows, err := bench.Read(context.Background(), effect.Key)
-			bench.committer.WasRead(bench.now, rows[0], err)
+			bench.committer.HandleRead(bench.now, rows[0], err)
 		case bvcommit.Done:
 			if _, twice := bench.done[effect.Entry]; twice {
 				panic("an entry has two outcomes")
@@ -189,7 +189,7 @@
 	bench.now = next
 	effects := bench.committer.Tick(bench.now)
 	require.IsType(t, bvcommit.Read{}, effects[0])
-	bench.committer.WasRead(bench.now, bvplatform.Row{}, nil) // not yet there
+	bench.committer.HandleRead(bench.now, bvplatform.Row{}, nil) // not yet there
 	bench.land()
 	bench.run()
 	require.NoError(t, bench.done[1].Err)
@@ -223,7 +223,7 @@
 
 func TestTransactionsAreBounded(t *testing.T) {
 	bench := newBench()
-	bench.committer.SetMax(2, 1000)
+	bench.committer.SetMaxBatch(2, 1000)
 	for id := range bvledger.EntryID(5) {
 		bench.committer.Add(put(id, fmt.Sprintf("row-%d", id), 0))
 	}
--- a/bvcommit/outcome.go
+++ b/bvcommit/outcome.go
@@ -10,8 +10,8 @@
 	"balsamvalve.example/bvplatform"
 )
 
-// Wrote tells the outcome of the last Write.
-func (committer *Committer) Wrote(now bvclock.Time, version int64, err error) {
+// HandleWrite tells the outcome of the last Write.
+func (committer *Committer) HandleWrite(now bvclock.Time, version int64, err error) {
 	if committer.phase != phaseWriting {
 		return
 	}
@@ -137,8 +137,8 @@
 	committer.reset()
 }
 
-// WasRead tells the outcome of the last Read.
-func (committer *Committer) WasRead(now bvclock.Time, row bvplatform.Row, err error) {
+// HandleRead tells the outcome of the last Read.
+func (committer *Committer) HandleRead(now bvclock.Time, row bvplatform.Row, err error) {
 	if committer.phase != phaseReading {
 		return
 	}
--- a/bvcommit/pace_test.go
+++ b/bvcommit/pace_test.go
@@ -19,7 +19,7 @@
 		for _, effect := range committer.Tick(now) {
 			if _, ok := effect.(Write); ok {
 				count++
-				committer.Wrote(now, int64(count), nil)
+				committer.HandleWrite(now, int64(count), nil)
 			}
 		}
 	}
--- a/bvdaemon/commit.go
+++ b/bvdaemon/commit.go
@@ -97,7 +97,7 @@
 	if conflict := new(bvplatform.ConflictError); errors.As(err, &conflict) {
 		loop.daemon.measures.Add("platform_conflicts", 1)
 	}
-	loop.do(func(now bvclock.Time) { loop.committer.Wrote(now, version, err) })
+	loop.do(func(now bvclock.Time) { loop.committer.HandleWrite(now, version, err) })
 }
 
 func (loop *commitLoop) read(key string) {
@@ -109,7 +109,7 @@
 	if err == nil && len(rows) == 1 {
 		row = rows[0]
 	}
-	loop.do(func(now bvclock.Time) { loop.committer.WasRead(now, row, err) })
+	loop.do(func(now bvclock.Time) { loop.committer.HandleRead(now, row, err) })
 }
 
 // flush waits until nothing is left to be written.
--- a/bvexperiment/capacity_test.go
+++ b/bvexperiment/capacity_test.go
@@ -129,14 +129,14 @@
 		for at, key := range effect.Keys {
 			rows[at].Key = key
 		}
-		keeper.ledger.Loaded(now, effect.Key, rows, nil)
+		keeper.ledger.HandleRows(now, effect.Key, rows, nil)
 	case bvledger.Commit:
 		keeper.version++
 		keeper.writes++
 		for _, put := range effect.Entry.Puts {
 			keeper.written += len(put.Key) + len(put.Value)
 		}
-		keeper.ledger.Committed(now, effect.Entry.ID, keeper.version, nil)
+		keeper.ledger.HandleCommit(now, effect.Entry.ID, keeper.version, nil)
 	case bvledger.Start:
 		keeper.ledger.MayStart(now, effect.Call)
 		keeper.ledger.Finish(now, effect.Call, bvledger.Result{
@@ -238,7 +238,7 @@
 					switch effect := effect.(type) {
 					case bvcommit.Write:
 						version, err := store.Commit(context.Background(), effect.Transaction)
-						committer.Wrote(now, version, err)
+						committer.HandleWrite(now, version, err)
 					case bvcommit.Done:
 						require.NoError(b, effect.Err)
 						versions[done] = effect.Version
--- a/bvfront/front.go
+++ b/bvfront/front.go
@@ -100,7 +100,7 @@
 // Histories keeps conversations.
 type Histories interface {
 	Chain(ctx context.Context, program, parent string) (bvhistory.Chain, error)
-	Add(ctx context.Context, chain bvhistory.Chain, said bvhistory.Said) error
+	Add(ctx context.Context, chain bvhistory.Chain, said bvhistory.FinishedTurn) error
 }
 
 // Quotas holds workspaces to their usage caps.
--- a/bvfront/turn.go
+++ b/bvfront/turn.go
@@ -94,7 +94,7 @@
 		return err
 	}
 	call.body = call.chain.Prompt(call.input)
-	ran := call.chain.Ran()
+	ran := call.chain.Placement()
 	call.placement.Held = bvdispatch.Held{Endpoint: ran.Endpoint, Tokens: ran.Tokens}
 	return nil
 }
@@ -115,12 +115,12 @@
 	}
 	began := call.front.parts.Clock.Now()
 	defer func() { call.keptFor = call.front.parts.Clock.Now().Sub(began) }()
-	return call.front.parts.Histories.Add(call.ctx, call.chain, bvhistory.Said{
+	return call.front.parts.Histories.Add(call.ctx, call.chain, bvhistory.FinishedTurn{
 		ID:     call.scoped(call.metadata.ID),
 		Input:  call.input,
 		Output: call.stream.data,
 		Retain: call.route.Retain,
-		Ran: bvhistory.Ran{
+		Placement: bvhistory.Placement{
 			Endpoint: bvdispatch.HashID(call.at.ID()),
 			Tokens:   call.placement.PromptTokens + call.generated(),
 		},
--- a/bvhistory/chain.go
+++ b/bvhistory/chain.go
@@ -20,12 +20,12 @@
 	return append(prompt, input...)
 }
 
-// Ran tells where the last turn was run.
-func (chain Chain) Ran() Ran {
+// Placement tells where the last turn was run.
+func (chain Chain) Placement() Placement {
 	if len(chain) == 0 {
-		return Ran{}
+		return Placement{}
 	}
-	return chain[len(chain)-1].Ran
+	return chain[len(chain)-1].Placement
 }
 
 // endsWith reports whether the chain is whole and its last turn is the named one.
--- a/bvhistory/history_test.go
+++ b/bvhistory/history_test.go
@@ -48,7 +48,7 @@
 type fewPeers struct{ store *Store }
 
 func (peers fewPeers) Chain(_ context.Context, _, turn string) Chain {
-	chain, err := DecodeChain(peers.store.Recall(turn).Encode())
+	chain, err := DecodeChain(peers.store.CachedChain(turn).Encode())
 	if err != nil {
 		return nil
 	}
@@ -94,7 +94,7 @@
 	t.Helper()
 	chain, err := store.Chain(t.Context(), "p", parent)
 	require.NoError(t, err)
-	said := Said{ID: id, Input: []byte(input), Output: []byte(output), Retain: bvclock.Minute}
+	said := FinishedTurn{ID: id, Input: []byte(input), Output: []byte(output), Retain: bvclock.Minute}
 	require.NoError(t, store.Add(t.Context(), chain, said))
 }
 
@@ -198,7 +198,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	store := newTestStore(&store{loseCommits: 1000})
-	require.Error(t, store.Add(ctx, nil, Said{ID: "t1"}))
+	require.Error(t, store.Add(ctx, nil, FinishedTurn{ID: "t1"}))
 }
 
 func TestLongTurnIsSplitIntoRows(t *testing.T) {
@@ -213,7 +213,7 @@
 // Guards against a long conversation that needs a row which has expired.
 func TestLongConversationNeedsNoExpiredRow(t *testing.T) {
 	now := int64(1000)
-	said := Said{ID: "t", Input: []byte("x"), Output: []byte("y\n"), Retain: bvclock.Minute}
+	said := FinishedTurn{ID: "t", Input: []byte("x"), Output: []byte("y\n"), Retain: bvclock.Minute}
 	var chain Chain
 	for range 40 {
 		turn := newTurn(chain, said, now)
@@ -241,12 +241,12 @@
 func TestTurnIsReadAsItWasWritten(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		turn := &Turn{
-			ID:        "t",
-			Ancestors: rapid.SliceOf(rapid.String()).Draw(rt, "ancestors"),
-			Oldest:    rapid.Int64().Draw(rt, "oldest"),
-			Expires:   rapid.Int64().Draw(rt, "expires"),
-			Input:     rapid.SliceOf(rapid.Byte()).Draw(rt, "input"),
-			Output:    rapid.SliceOf(rapid.Byte()).Draw(rt, "output"),
+			ID:         "t",
+			Ancestors:  rapid.SliceOf(rapid.String()).Draw(rt, "ancestors"),
+			ChainStart: rapid.Int64().Draw(rt, "oldest"),
+			Expires:    rapid.Int64().Draw(rt, "expires"),
+			Input:      rapid.SliceOf(rapid.Byte()).Draw(rt, "input"),
+			Output:     rapid.SliceOf(rapid.Byte()).Draw(rt, "output"),
 		}
 		read, err := decodeTurn("t", turn.encode())
 		require.NoError(rt, err)
@@ -260,7 +260,7 @@
 	})
 }
 
-// ranBytes is what a Ran without an endpoint takes in a row.
+// ranBytes is what a Placement without an endpoint takes in a row.
 const ranBytes = 2
 
 func TestRowThatIsCutOffIsAnError(t *testing.T) {
@@ -279,7 +279,7 @@
 	shared := &store{}
 	store := newTestStore(shared)
 	gone := &Turn{ID: "gone", Expires: 1, Input: make([]byte, 10_000)}
-	kept := newTurn(nil, Said{ID: "kept", Retain: bvclock.Minute}, time.Now().Unix())
+	kept := newTurn(nil, FinishedTurn{ID: "kept", Retain: bvclock.Minute}, time.Now().Unix())
 	for _, turn := range []*Turn{gone, kept} {
 		_, err := shared.Memory.Commit(t.Context(), bvplatform.Transaction{Puts: store.rows(turn, 0)})
 		require.NoError(t, err)
@@ -301,20 +301,20 @@
 	log := logrus.New()
 	log.SetOutput(&lines)
 	store := NewStore(&store{loseCommits: 5}, noPeers{}, 1<<16, log)
-	require.NoError(t, store.Add(t.Context(), nil, Said{ID: "t1", Retain: bvclock.Minute}))
+	require.NoError(t, store.Add(t.Context(), nil, FinishedTurn{ID: "t1", Retain: bvclock.Minute}))
 	require.Equal(t, 1, strings.Count(lines.String(), "turn not kept yet"))
 	require.Equal(t, 1, strings.Count(lines.String(), "turn kept after all"))
 }
 
 // Guards against a next turn that does not know where the engine's cache is warm.
 func TestWhereATurnRanIsKept(t *testing.T) {
-	turn := &Turn{ID: "t", Oldest: 1, Expires: 2, Input: []byte("in"), Output: []byte("out\n"), Ran: Ran{Endpoint: 1 << 63, Tokens: 4711}}
+	turn := &Turn{ID: "t", ChainStart: 1, Expires: 2, Input: []byte("in"), Output: []byte("out\n"), Placement: Placement{Endpoint: 1 << 63, Tokens: 4711}}
 	decoded, err := decodeTurn("t", turn.encode())
 	require.NoError(t, err)
 	require.Equal(t, turn, decoded)
 	chain, err := DecodeChain(Chain{turn}.Encode())
 	require.NoError(t, err)
-	require.Equal(t, turn.Ran, chain.Ran())
+	require.Equal(t, turn.Placement, chain.Placement())
 }
 
 // During an update, rows are there that an earlier version wrote.
--- a/bvhistory/store.go
+++ b/bvhistory/store.go
@@ -15,7 +15,7 @@
 //	chain, err := store.Chain(ctx, program, parent) // all turns up to the parent
 //	body := chain.Prompt(input)
 //	...
-//	err = store.Add(ctx, chain, bvhistory.Said{ID: id, Input: input, Output: output, Retain: retain})
+//	err = store.Add(ctx, chain, bvhistory.FinishedTurn{ID: id, Input: input, Output: output, Retain: retain})
 //
 // # Cost
 //
@@ -62,13 +62,13 @@
 	expireMargin = 30
 )
 
-// Said is a turn that has ended.
-type Said struct {
-	ID     string
-	Input  []byte
-	Output []byte           // the data of each event, each with a line feed behind it
-	Retain bvclock.Duration // how long it is kept
-	Ran    Ran
+// FinishedTurn is a turn that has ended.
+type FinishedTurn struct {
+	ID        string
+	Input     []byte
+	Output    []byte           // the data of each event, each with a line feed behind it
+	Retain    bvclock.Duration // how long it is kept
+	Placement Placement
 }
 
 // Peers are the other hosts.
@@ -111,7 +111,7 @@
 	if parent == "" {
 		return nil, nil
 	}
-	if chain := store.Recall(parent); chain != nil {
+	if chain := store.CachedChain(parent); chain != nil {
 		return chain, nil
 	}
 	if chain := store.peers.Chain(ctx, program, parent); chain.endsWith(parent) {
@@ -123,9 +123,9 @@
 	return store.load(ctx, parent)
 }
 
-// Recall returns all turns up to the one that is named if they are at hand, else
+// CachedChain returns all turns up to the one that is named if they are at hand, else
 // nil.
-func (store *Store) Recall(parent string) Chain {
+func (store *Store) CachedChain(parent string) Chain {
 	last := store.cached(parent)
 	if last == nil {
 		return nil
@@ -175,7 +175,7 @@
 
 // Add keeps a turn. It returns when the turn is durable, or when ctx ends, in
 // which case the caller must not be told that its turn is complete.
-func (store *Store) Add(ctx context.Context, chain Chain, said Said) error {
+func (store *Store) Add(ctx context.Context, chain Chain, said FinishedTurn) error {
 	now := time.Now().Unix()
 	turn := newTurn(chain, said, now)
 	for try := 0; ; try++ {
@@ -209,18 +209,18 @@
 
 // newTurn links a turn to its chain, or copies the chain where its oldest turn
 // would have to be kept for too long.
-func newTurn(chain Chain, said Said, now int64) *Turn {
+func newTurn(chain Chain, said FinishedTurn, now int64) *Turn {
 	retain := int64(said.Retain / bvclock.Second)
-	turn := &Turn{ID: said.ID, Oldest: now, Expires: now + retain + retain/2 + expireMargin, Input: said.Input, Output: said.Output, Ran: said.Ran}
+	turn := &Turn{ID: said.ID, ChainStart: now, Expires: now + retain + retain/2 + expireMargin, Input: said.Input, Output: said.Output, Placement: said.Placement}
 	if len(chain) == 0 {
 		return turn
 	}
 	last := chain[len(chain)-1]
-	if now-last.Oldest > retain/2 {
+	if now-last.ChainStart > retain/2 {
 		turn.Input = chain.Prompt(said.Input)
 		return turn
 	}
-	turn.Oldest = last.Oldest
+	turn.ChainStart = last.ChainStart
 	turn.Ancestors = make([]string, 0, len(chain))
 	for _, ancestor := range chain {
 		turn.Ancestors = append(turn.Ancestors, ancestor.ID)
--- a/bvhistory/turn.go
+++ b/bvhistory/turn.go
@@ -8,18 +8,18 @@
 
 // Turn is a turn of a conversation as it is kept.
 type Turn struct {
-	ID        string
-	Ancestors []string // ids of the turns before it, oldest first
-	Oldest    int64    // when the oldest of the chain was written: time of day, in seconds
-	Expires   int64    // when no later turn can need this one: time of day, in seconds
-	Input     []byte   // what the caller sent
-	Output    []byte   // the data of each event, each with a line feed behind it
-	Ran       Ran
+	ID         string
+	Ancestors  []string // ids of the turns before it, oldest first
+	ChainStart int64    // when the oldest of the chain was written: time of day, in seconds
+	Expires    int64    // when no later turn can need this one: time of day, in seconds
+	Input      []byte   // what the caller sent
+	Output     []byte   // the data of each event, each with a line feed behind it
+	Placement  Placement
 }
 
-// Ran tells where a turn was run, so that whoever gets the next one, through any
+// Placement tells where a turn was run, so that whoever gets the next one, through any
 // host, can send it where its conversation is cached. The zero value tells nothing.
-type Ran struct {
+type Placement struct {
 	Endpoint uint64 // hash of its ID
 	Tokens   int    // of the prompt and the answer
 }
@@ -34,7 +34,7 @@
 func (turn *Turn) encode() []byte {
 	size := 64 + len(turn.Input) + len(turn.Output)
 	encoded := make([]byte, 0, size)
-	encoded = binary.AppendVarint(encoded, turn.Oldest)
+	encoded = binary.AppendVarint(encoded, turn.ChainStart)
 	encoded = binary.AppendVarint(encoded, turn.Expires)
 	encoded = binary.AppendUvarint(encoded, uint64(len(turn.Ancestors)))
 	for _, ancestor := range turn.Ancestors {
@@ -42,8 +42,8 @@
 	}
 	encoded = appendBytes(encoded, turn.Input)
 	encoded = appendBytes(encoded, turn.Output)
-	encoded = binary.AppendUvarint(encoded, turn.Ran.Endpoint)
-	return binary.AppendUvarint(encoded, uint64(turn.Ran.Tokens))
+	encoded = binary.AppendUvarint(encoded, turn.Placement.Endpoint)
+	return binary.AppendUvarint(encoded, uint64(turn.Placement.Tokens))
 }
 
 func appendBytes(encoded, value []byte) []byte {
@@ -56,7 +56,7 @@
 // decodeTurn reads a turn that encode wrote.
 func decodeTurn(id string, encoded []byte) (*Turn, error) {
 	reader := reader{rest: encoded}
-	turn := &Turn{ID: id, Oldest: reader.varint(), Expires: reader.varint()}
+	turn := &Turn{ID: id, ChainStart: reader.varint(), Expires: reader.varint()}
 	count := reader.uvarint()
 	for range min(count, uint64(len(encoded))) {
 		turn.Ancestors = append(turn.Ancestors, string(reader.bytes()))
@@ -64,7 +64,7 @@
 	turn.Input = reader.bytes()
 	turn.Output = reader.bytes()
 	if reader.err == nil && len(reader.rest) > 0 { // rows of earlier versions end here
-		turn.Ran = Ran{Endpoint: reader.uvarint(), Tokens: int(reader.uvarint())}
+		turn.Placement = Placement{Endpoint: reader.uvarint(), Tokens: int(reader.uvarint())}
 	}
 	if reader.err != nil {
 		return nil, fmt.Errorf("turn %s: %w", id, reader.err)
--- a/bvlease/bench_test.go
+++ b/bvlease/bench_test.go
@@ -14,7 +14,7 @@
 			for i := range hosts {
 				hosts[i] = Host{Name: fmt.Sprint("host-", i)}
 			}
-			leases.Listed(1, 1, hosts)
+			leases.UpdateList(1, 1, hosts)
 			for b.Loop() {
 				leases.Holder("3fa81c9de0")
 			}
--- a/bvlease/lease.go
+++ b/bvlease/lease.go
@@ -19,8 +19,8 @@
 // # Usage
 //
 //	leases := bvlease.New(self, firstStart, clock.Now())
-//	leases.Wrote(clock.Now())              // this host's row is in the store
-//	leases.Listed(asked, clock.Now(), hosts) // the list as it was read
+//	leases.RecordWrite(clock.Now())              // this host's row is in the store
+//	leases.UpdateList(asked, clock.Now(), hosts) // the list as it was read
 //	if leases.MayGrant(clock.Now(), program, retain) { ... }
 package bvlease
 
@@ -38,15 +38,15 @@
 	// leaseTime is how long after reading the list a host may grant: some readings
 	// may fail in an outage of the store.
 	leaseTime = 30 * bvclock.Second
-	// LongestProgram is how long a program may be under way, or come back after
+	// MaxProgramTime is how long a program may be under way, or come back after
 	// it was stopped, beyond the time for which its route keeps turns.
-	LongestProgram = bvclock.Minute
+	MaxProgramTime = bvclock.Minute
 	// longestRetain is the longest time of a route that keeps turns for which
 	// grants are made.
 	longestRetain = 5 * bvclock.Minute
 	// longestTakeover is how long a new holder waits: until the one before it has
 	// surely stopped granting, and no program that it granted for can come back.
-	longestTakeover = leaseTime + LongestProgram + longestRetain + readGap
+	longestTakeover = leaseTime + MaxProgramTime + longestRetain + readGap
 	// readGap is the longest time between two readings in which a departed host
 	// that was back and left again is not noticed.
 	readGap = 15 * bvclock.Second
@@ -54,15 +54,15 @@
 	// anew. A host that was never seen here needs longestTakeover before its
 	// first grant.
 	blindGap = 2 * bvclock.Minute
-	// HandoverTime is how old what a process left behind may be for the next one of
+	// MaxHandoverAge is how old what a process left behind may be for the next one of
 	// its host to go on from there: others wait for longestTakeover.
-	HandoverTime = leaseTime
+	MaxHandoverAge = leaseTime
 	// firstListed is how soon after its start a host must be listed to take part
 	// in the first list.
 	firstListed = 3 * bvclock.Second
-	// FirstRead is when after its start a host's reading of the list shows all
+	// FirstReadDelay is when after its start a host's reading of the list shows all
 	// hosts of the first list, also of those whose processes came up 3 s later.
-	FirstRead = 6 * bvclock.Second
+	FirstReadDelay = 6 * bvclock.Second
 )
 
 // Host is a row of the list of grantors.
@@ -104,15 +104,15 @@
 	return &Leases{self: self, first: firstStart, started: started}
 }
 
-// Wrote notes that the store has this host's row.
-func (leases *Leases) Wrote(now bvclock.Time) {
+// RecordWrite notes that the store has this host's row.
+func (leases *Leases) RecordWrite(now bvclock.Time) {
 	leases.mutex.Lock()
 	defer leases.mutex.Unlock()
 	leases.wrote = now
 }
 
-// Known is what a host knows of the others, by the seeds of their names.
-type Known struct {
+// KnownHosts is what a host knows of the others, by the seeds of their names.
+type KnownHosts struct {
 	Listed   []uint64 `json:"listed"`
 	Departed []uint64 `json:"former"` // no longer listed, and still to be waited for
 }
@@ -120,7 +120,7 @@
 // Stop ends all grants of this host. It is called before the host takes itself
 // off the list. It returns what the next process of this host needs to go on from
 // here, and whether it may: not if this one still had to wait itself.
-func (leases *Leases) Stop(now bvclock.Time) (known Known, heritable bool) {
+func (leases *Leases) Stop(now bvclock.Time) (known KnownHosts, heritable bool) {
 	leases.mutex.Lock()
 	defer leases.mutex.Unlock()
 	leases.stopped = true
@@ -134,10 +134,10 @@
 	return known, leases.wrote != 0 && leases.confirmed(now) && leases.alone(now)
 }
 
-// Succeed notes that this host goes on from where its last process stopped. It is
+// Inherit notes that this host goes on from where its last process stopped. It is
 // called soon after that stop, before another host may take its programs over.
 // All hosts that were known then are waited for until the next list shows them.
-func (leases *Leases) Succeed(now bvclock.Time, known Known) {
+func (leases *Leases) Inherit(now bvclock.Time, known KnownHosts) {
 	leases.mutex.Lock()
 	defer leases.mutex.Unlock()
 	leases.succeeded = true
@@ -146,9 +146,9 @@
 	}
 }
 
-// Listed takes over the list. Asked is when its reading began, before which
+// UpdateList takes over the list. Asked is when its reading began, before which
 // nothing that it shows may be relied on.
-func (leases *Leases) Listed(asked, now bvclock.Time, hosts []Host) {
+func (leases *Leases) UpdateList(asked, now bvclock.Time, hosts []Host) {
 	leases.mutex.Lock()
 	defer leases.mutex.Unlock()
 	listed := make(map[uint64]bool, len(hosts))
@@ -195,8 +195,8 @@
 	})
 }
 
-// Confirmed reports whether the list was read lately enough to go by it.
-func (leases *Leases) Confirmed(now bvclock.Time) bool {
+// IsConfirmed reports whether the list was read lately enough to go by it.
+func (leases *Leases) IsConfirmed(now bvclock.Time) bool {
 	leases.mutex.Lock()
 	defer leases.mutex.Unlock()
 	return leases.confirmed(now)
@@ -246,7 +246,7 @@
 	if leases.succeeded || now.Sub(leases.wrote) >= longestTakeover {
 		return true
 	}
-	return leases.first && leases.wrote.Sub(leases.started) <= firstListed && leases.asked.Sub(leases.started) >= FirstRead
+	return leases.first && leases.wrote.Sub(leases.started) <= firstListed && leases.asked.Sub(leases.started) >= FirstReadDelay
 }
 
 // followsDeparted reports whether a host that is no longer listed was the program's
--- a/bvlease/lease_test.go
+++ b/bvlease/lease_test.go
@@ -28,7 +28,7 @@
 
 // handover is what a planned stop leaves in the store.
 type handover struct {
-	known   Known
+	known   KnownHosts
 	at      bvclock.Time
 	lineage string
 }
@@ -61,7 +61,7 @@
 	for _, host := range hosts {
 		world.list(host)
 	}
-	world.now = world.now.Add(FirstRead)
+	world.now = world.now.Add(FirstReadDelay)
 	for _, host := range hosts {
 		world.ask(host)
 		world.answer(host)
@@ -81,13 +81,13 @@
 	process := world.processes[name]
 	if left, found := world.handovers[name]; found {
 		delete(world.handovers, name)
-		if world.now.Sub(left.at) < HandoverTime {
-			process.leases.Succeed(world.now, left.known)
+		if world.now.Sub(left.at) < MaxHandoverAge {
+			process.leases.Inherit(world.now, left.known)
 			process.lineage = left.lineage
 		}
 	}
 	world.listed[name] = process.self
-	process.leases.Wrote(world.now)
+	process.leases.RecordWrite(world.now)
 }
 
 // stop is a planned stop.
@@ -114,7 +114,7 @@
 func (world *world) answer(name string) {
 	process := world.processes[name]
 	if process.read != nil {
-		process.leases.Listed(process.read.asked, world.now, process.read.hosts)
+		process.leases.UpdateList(process.read.asked, world.now, process.read.hosts)
 		process.read = nil
 	}
 }
@@ -132,7 +132,7 @@
 		rt.Repeat(map[string]func(*rapid.T){
 			"time": func(rt *rapid.T) {
 				world.now = world.now.Add(rapid.SampledFrom([]bvclock.Duration{
-					100, bvclock.Second, 10 * bvclock.Second, leaseTime, LongestProgram, longestTakeover,
+					100, bvclock.Second, 10 * bvclock.Second, leaseTime, MaxProgramTime, longestTakeover,
 				}).Draw(rt, "by"))
 			},
 			"read": func(rt *rapid.T) {
@@ -183,7 +183,7 @@
 				continue
 			}
 			before, any := world.granted[program]
-			if any && before.lineage != process.lineage && world.now.Sub(before.at) <= LongestProgram+testRetain {
+			if any && before.lineage != process.lineage && world.now.Sub(before.at) <= MaxProgramTime+testRetain {
 				require.Failf(t, "two grantors", "%s and %s granted for %s within %v",
 					before.lineage, process.lineage, program, world.now.Sub(before.at))
 			}
@@ -199,7 +199,7 @@
 	world.checkGrants(caught)
 	require.False(t, caught.failed)
 	for name, process := range world.processes {
-		process.leases.Listed(world.now, world.now, []Host{process.self}) // each sees itself alone
+		process.leases.UpdateList(world.now, world.now, []Host{process.self}) // each sees itself alone
 		process.leases.departedHosts = nil
 		require.True(t, world.mayGrant(name, "p"))
 	}
@@ -240,7 +240,7 @@
 	for i := range 13 {
 		hosts = append(hosts, Host{Name: fmt.Sprint("edge-piran-hall-", i), Incarnation: fmt.Sprint(i)})
 	}
-	leases.Listed(1, 1, hosts)
+	leases.UpdateList(1, 1, hosts)
 	counts := make(map[string]int)
 	for i := range 13_000 {
 		holder, _ := leases.Holder(fmt.Sprintf("%x", i*7919))
@@ -333,10 +333,10 @@
 	require.True(t, world.mayGrant("a", program))
 	granted := world.now
 	world.stop("a")
-	for world.now.Sub(granted) <= LongestProgram+testRetain {
+	for world.now.Sub(granted) <= MaxProgramTime+testRetain {
 		world.now = world.now.Add(10 * bvclock.Second)
 		world.ask("b")
 		world.answer("b")
-		require.False(t, world.mayGrant("b", program) && world.now.Sub(granted) <= LongestProgram+testRetain)
+		require.False(t, world.mayGrant("b", program) && world.now.Sub(granted) <= MaxProgramTime+testRetain)
 	}
 }
--- a/bvledger/bench_test.go
+++ b/bvledger/bench_test.go
@@ -26,11 +26,11 @@
 		for _, effect := range effects {
 			switch effect := effect.(type) {
 			case bvledger.Load:
-				driver.ledger.Loaded(1, effect.Key, absent(effect.Keys), nil)
+				driver.ledger.HandleRows(1, effect.Key, absent(effect.Keys), nil)
 			case bvledger.Commit:
 				driver.version++
 				driver.commits++
-				driver.ledger.Committed(1, effect.Entry.ID, driver.version, nil)
+				driver.ledger.HandleCommit(1, effect.Entry.ID, driver.version, nil)
 			case bvledger.Start:
 				driver.ledger.Finish(1, effect.Call, reply("answer"))
 			}
--- a/bvledger/call.go
+++ b/bvledger/call.go
@@ -32,7 +32,7 @@
 	Digest       string // of the body: a repeat must carry the same
 	Unrepeatable bool
 	Resent       bool   // the caller has sent the request before: a refusal then never says that it was not run
-	Full         bool   // Messages carry the whole history, not only what is new
+	FullHistory  bool   // Messages carry the whole history, not only what is new
 	Messages     []byte // JSON array of the call's new messages
 	Cost         int64  // most that the call can spend, in work units, without HistoryCost
 	HistoryCost  int64  // what each byte of the history that comes before the call adds to Cost
@@ -54,14 +54,14 @@
 // Effect is something that the ledger wants done.
 type Effect interface{ effect() }
 
-// Load wants the program's rows read; the answer is given to Loaded.
+// Load wants the program's rows read; the answer is given to HandleRows.
 type Load struct {
-	Key   ProgramKey
-	Keys  []string // rows to read
-	Turns bool     // scan the prefix TurnPrefix(Key) too, to its end, after the rows are read
+	Key       ProgramKey
+	Keys      []string // rows to read
+	ScanTurns bool     // scan the prefix TurnPrefix(Key) too, to its end, after the rows are read
 }
 
-// Commit wants rows written; the outcome is given to Committed. Entries of
+// Commit wants rows written; the outcome is given to HandleCommit. Entries of
 // many programs may be written in one transaction.
 type Commit struct {
 	Entry Entry
@@ -97,18 +97,18 @@
 	Call CallID
 }
 
-// Released wants the endpoints told to drop the program's cache. Confirm each
-// with ReleaseDone. AnyEndpoint among them stands for all that could have run
+// Release wants the endpoints told to drop the program's cache. Confirm each
+// with ConfirmRelease. AnyEndpoint among them stands for all that could have run
 // the program.
-type Released struct {
+type Release struct {
 	Key       ProgramKey
 	Endpoints []string
 }
 
-func (Load) effect()     {}
-func (Commit) effect()   {}
-func (Start) effect()    {}
-func (Answer) effect()   {}
-func (Refuse) effect()   {}
-func (Abort) effect()    {}
-func (Released) effect() {}
+func (Load) effect()    {}
+func (Commit) effect()  {}
+func (Start) effect()   {}
+func (Answer) effect()  {}
+func (Refuse) effect()  {}
+func (Abort) effect()   {}
+func (Release) effect() {}
--- a/bvledger/commit.go
+++ b/bvledger/commit.go
@@ -8,11 +8,11 @@
 	"balsamvalve.example/bvplatform"
 )
 
-// Committed tells the outcome of a Commit: the version that its rows have
+// HandleCommit tells the outcome of a Commit: the version that its rows have
 // now, or an error, which means that nothing of the entry was or ever will be
 // written. A *bvplatform.ConflictError on the head row means that another
 // host owns the program.
-func (ledger *Ledger) Committed(now bvclock.Time, id EntryID, version int64, err error) {
+func (ledger *Ledger) HandleCommit(now bvclock.Time, id EntryID, version int64, err error) {
 	entry := ledger.entries[id]
 	if entry == nil {
 		return
--- a/bvledger/cost_test.go
+++ b/bvledger/cost_test.go
@@ -49,9 +49,9 @@
 		for i, key := range effect.Keys {
 			rows[i].Key = key
 		}
-		ledger.Loaded(now, effect.Key, rows, nil)
+		ledger.HandleRows(now, effect.Key, rows, nil)
 	case Commit:
-		ledger.Committed(now, effect.Entry.ID, int64(effect.Entry.ID), nil)
+		ledger.HandleCommit(now, effect.Entry.ID, int64(effect.Entry.ID), nil)
 	case Start:
 		ledger.Finish(now, effect.Call, Result{Answer: []byte("a"), Message: []byte(`["z"]`), Spent: spent, Endpoint: "e"})
 	}
--- a/bvledger/end.go
+++ b/bvledger/end.go
@@ -11,19 +11,19 @@
 		ledger.refuse(call, bvverdict.Refuse(bvverdict.UnknownProgram, "the program is not known"))
 		return
 	}
-	if program.head.State.Ended() {
+	if program.head.State.IsEnded() {
 		ledger.answer(call, nil, 0, true)
 		return
 	}
 	if program.ending == nil {
-		program.ending = &ending{state: EndedAsked}
+		program.ending = &ending{state: EndedByCaller}
 	}
 	program.ending.callers = append(program.ending.callers, call)
 }
 
 // endReady reports whether nothing has to finish before the end.
 func (program *program) endReady() bool {
-	return program.ending != nil && program.running == nil && !program.head.State.Ended()
+	return program.ending != nil && program.running == nil && !program.head.State.IsEnded()
 }
 
 // advanceEnd refuses what waits in a program that ends, and stops what runs.
@@ -92,8 +92,8 @@
 }
 
 func (ledger *Ledger) emitReleased(program *program) {
-	if program.head.State.Ended() && len(program.head.Endpoints) > 0 {
-		ledger.emit(Released{Key: program.key, Endpoints: program.head.clone().Endpoints})
+	if program.head.State.IsEnded() && len(program.head.Endpoints) > 0 {
+		ledger.emit(Release{Key: program.key, Endpoints: program.head.clone().Endpoints})
 	}
 }
 
@@ -101,7 +101,7 @@
 // until each has confirmed. The head row names them, so that another host can
 // go on after this one.
 func (ledger *Ledger) release(now bvclock.Time, program *program) {
-	if program.phase != phaseOwned || !program.head.State.Ended() || !program.idle() {
+	if program.phase != phaseOwned || !program.head.State.IsEnded() || !program.idle() {
 		return
 	}
 	if len(program.head.Endpoints) == 0 {
@@ -110,17 +110,17 @@
 		}
 		return
 	}
-	if due(program.releasedAt.Add(ledger.settings.ReleaseRetry), now) {
+	if due(program.releasedAt.Add(ledger.settings.ReleaseInterval), now) {
 		program.releasedAt = now
 		ledger.emitReleased(program)
 	}
 }
 
-// ReleaseDone tells that an endpoint holds nothing of the program any more,
+// ConfirmRelease tells that an endpoint holds nothing of the program any more,
 // or that its incarnation is gone.
-func (ledger *Ledger) ReleaseDone(now bvclock.Time, key ProgramKey, endpoint string) {
+func (ledger *Ledger) ConfirmRelease(now bvclock.Time, key ProgramKey, endpoint string) {
 	program := ledger.programs[key]
-	if program == nil || !program.head.State.Ended() {
+	if program == nil || !program.head.State.IsEnded() {
 		return
 	}
 	program.head.removeEndpoint(endpoint)
@@ -133,7 +133,7 @@
 // expireIdle ends a program that nothing was heard of for too long, and takes
 // the history of one that rests out of memory.
 func (ledger *Ledger) expireIdle(now bvclock.Time, program *program) {
-	if !program.idle() || program.dirty || program.head.State.Ended() {
+	if !program.idle() || program.dirty || program.head.State.IsEnded() {
 		return
 	}
 	owned := program.phase == phaseOwned || program.phase == phaseCold
--- a/bvledger/expire.go
+++ b/bvledger/expire.go
@@ -34,7 +34,7 @@
 	if program.phase == phaseLoading || program.reloading || call.state == callPreparing {
 		return ledger.unavailable("the program's state couldn't be read or written in time")
 	}
-	if program.unkept() >= ledger.settings.MaxUnkept {
+	if program.unkept() >= ledger.settings.MaxUncommitted {
 		return ledger.unavailable("too many turns of the program wait to be kept")
 	}
 	return bvverdict.Refuse(bvverdict.TurnOutOfOrder, "the turn before this one has not finished").
--- a/bvledger/gap_test.go
+++ b/bvledger/gap_test.go
@@ -73,10 +73,10 @@
 				require.NoError(t, err)
 				turns, err := memory.Scan(t.Context(), TurnPrefix(effect.Key), "", 100)
 				require.NoError(t, err)
-				ledger.Loaded(now, effect.Key, append(rows, turns...), nil)
+				ledger.HandleRows(now, effect.Key, append(rows, turns...), nil)
 			case Commit:
 				version, err := memory.Commit(t.Context(), bvplatform.Transaction{Checks: effect.Entry.Checks, Puts: effect.Entry.Puts})
-				ledger.Committed(now, effect.Entry.ID, version, err)
+				ledger.HandleCommit(now, effect.Entry.ID, version, err)
 			case Start:
 				ledger.Finish(now, effect.Call, Result{Answer: []byte("a"), Message: []byte(`["z"]`), Endpoint: "e"})
 			case Answer:
--- a/bvledger/head.go
+++ b/bvledger/head.go
@@ -16,14 +16,14 @@
 
 // The states of a program.
 const (
-	Running      State = iota // running
-	EndedAsked                // ended by its caller
-	EndedIdle                 // ended after its idle limit
-	EndedLooping              // ended at its limit of calls
+	Running          State = iota // running
+	EndedByCaller                 // ended by its caller
+	EndedIdle                     // ended after its idle limit
+	EndedAtCallLimit              // ended at its limit of calls
 )
 
 // Ended reports whether the program takes no more calls.
-func (state State) Ended() bool {
+func (state State) IsEnded() bool {
 	return state != Running
 }
 
--- a/bvledger/leave.go
+++ b/bvledger/leave.go
@@ -26,7 +26,7 @@
 
 func (ledger *Ledger) leaveProgram(now bvclock.Time, program *program) {
 	owned := program.phase == phaseOwned || program.phase == phaseCold
-	if !ledger.leaving || !owned || !program.idle() || program.dirty || program.head.State.Ended() {
+	if !ledger.leaving || !owned || !program.idle() || program.dirty || program.head.State.IsEnded() {
 		return
 	}
 	program.handover = true
--- a/bvledger/ledger.go
+++ b/bvledger/ledger.go
@@ -3,7 +3,7 @@
 //
 // A Ledger is told of events by its methods and asked for what to do by Tick;
 // it knows no sockets, no clock and no platform. What must last goes out as
-// Commit effects and counts only after Committed said so.
+// Commit effects and counts only after HandleCommit.
 //
 // A program is claimed by a write to its head row that raises the epoch. Each
 // later write is conditional on the version of the one before, so a host that
@@ -16,13 +16,13 @@
 //	ledger.Submit(now, call)
 //	for _, effect := range ledger.Tick(now) {
 //		switch effect := effect.(type) {
-//		case bvledger.Load:     // read rows, then ledger.Loaded(now, key, rows, err)
-//		case bvledger.Commit:   // write, then ledger.Committed(now, entry.ID, version, err)
+//		case bvledger.Load:     // read rows, then ledger.HandleRows(now, key, rows, err)
+//		case bvledger.Commit:   // write, then ledger.HandleCommit(now, entry.ID, version, err)
 //		case bvledger.Start:    // ask MayStart, run the call, then ledger.Finish(now, call, result)
 //		case bvledger.Answer:   // reply
 //		case bvledger.Refuse:   // reply
 //		case bvledger.Abort:    // cancel the call, then Finish
-//		case bvledger.Released: // tell the endpoints, then ledger.ReleaseDone
+//		case bvledger.Release: // tell the endpoints, then ledger.ConfirmRelease
 //		}
 //	}
 //	// sleep until ledger.Next() or the next event, then Tick again
@@ -117,7 +117,7 @@
 	}
 	call.program = program
 	call.arrived = now
-	call.waitUntil = now.Add(ledger.settings.OrderWait)
+	call.waitUntil = now.Add(ledger.settings.OrderTimeout)
 	ledger.calls[call.ID] = call
 	program.activeAt = now
 	if call.kind == kindCall && program.ending != nil && program.ending.state == EndedIdle && program.entry == nil {
@@ -274,7 +274,7 @@
 // read has rows of the program read again before it goes on.
 func (ledger *Ledger) read(program *program, turns bool, keys ...string) {
 	program.reloading = true
-	ledger.emit(Load{Key: program.key, Keys: keys, Turns: turns})
+	ledger.emit(Load{Key: program.key, Keys: keys, ScanTurns: turns})
 }
 
 // load has all rows of the program read.
@@ -286,8 +286,8 @@
 	ledger.read(program, true, keys...)
 }
 
-// Loaded tells the outcome of a Load.
-func (ledger *Ledger) Loaded(now bvclock.Time, key ProgramKey, rows []bvplatform.Row, err error) {
+// HandleRows tells the outcome of a Load.
+func (ledger *Ledger) HandleRows(now bvclock.Time, key ProgramKey, rows []bvplatform.Row, err error) {
 	program := ledger.programs[key]
 	if program == nil || !program.reloading || err == nil && program.belated(rows) {
 		return
--- a/bvledger/ledger_test.go
+++ b/bvledger/ledger_test.go
@@ -116,7 +116,7 @@
 	host := newHost("a", &faults{})
 	host.ledger.Submit(0, question(2, "r2", 2))
 	host.pump(0)
-	now := bvclock.Time(0).Add(bvledger.DefaultOrderWait)
+	now := bvclock.Time(0).Add(bvledger.DefaultOrderTimeout)
 	next, ok := host.ledger.Next()
 	require.True(t, ok)
 	require.Equal(t, now, next)
@@ -151,7 +151,7 @@
 	host.ledger.Submit(0, question(1, "r2", 2))
 	host.ledger.Fetch(0, 2, lesson, "r2")
 	host.pump(0)
-	host.pump(bvclock.Time(0).Add(bvledger.DefaultOrderWait))
+	host.pump(bvclock.Time(0).Add(bvledger.DefaultOrderTimeout))
 	requireRefusal(t, host, 1, bvverdict.NotRun, bvverdict.TurnOutOfOrder)
 	requireRefusal(t, host, 2, bvverdict.MayHaveRun, bvverdict.TurnOutOfOrder)
 }
@@ -262,7 +262,7 @@
 	host.pump(1)
 	again := newHost("b", host.store)
 	again.ledger.End(2, lesson, 1)
-	again.ledger.Loaded(2, lesson, []bvplatform.Row{{Key: bvledger.AccountKey(lesson)}}, nil)
+	again.ledger.HandleRows(2, lesson, []bvplatform.Row{{Key: bvledger.AccountKey(lesson)}}, nil)
 	again.pump(2)
 	require.NotNil(t, again.outcomes[1].answer)
 }
--- a/bvledger/load.go
+++ b/bvledger/load.go
@@ -159,7 +159,7 @@
 			WithRetryAfter(ledger.settings.RetryAfter).WithCause(cause))
 	}
 	endIssued := program.entry != nil && program.entry.ending
-	if program.ending != nil && program.ending.state == EndedAsked && !endIssued {
+	if program.ending != nil && program.ending.state == EndedByCaller && !endIssued {
 		for _, caller := range program.ending.callers {
 			ledger.refuse(caller, err)
 		}
--- a/bvledger/lose.go
+++ b/bvledger/lose.go
@@ -106,6 +106,6 @@
 	slices.Sort(lost)
 	lost = slices.Compact(lost)
 	if len(lost) > 0 {
-		ledger.emit(Released{Key: program.key, Endpoints: lost})
+		ledger.emit(Release{Key: program.key, Endpoints: lost})
 	}
 }
--- a/bvledger/once.go
+++ b/bvledger/once.go
@@ -93,7 +93,7 @@
 // host that doesn't know that turn is outdated, and the record lacks the
 // turn's messages.
 func (program *program) adopt(request string, row onceRow) bool {
-	if row.State != onceAnswered || !row.Unkept || row.Turn != program.nextTurn() || program.head.State.Ended() {
+	if row.State != onceAnswered || !row.Unkept || row.Turn != program.nextTurn() || program.head.State.IsEnded() {
 		return false
 	}
 	if _, kept := program.requests[request]; kept {
@@ -186,7 +186,7 @@
 func (ledger *Ledger) strayFinished(now bvclock.Time, stray *stray, result Result) {
 	delete(ledger.strays, stray.call.ID)
 	if result.Endpoint != "" {
-		ledger.emit(Released{Key: stray.call.Key, Endpoints: []string{result.Endpoint}})
+		ledger.emit(Release{Key: stray.call.Key, Endpoints: []string{result.Endpoint}})
 	}
 	if stray.call.Unrepeatable {
 		ledger.finishStray(now, stray, result)
--- a/bvledger/order.go
+++ b/bvledger/order.go
@@ -44,7 +44,7 @@
 			"turn %d has been taken by another call", call.Turn))
 		return true
 	}
-	if program.head.State.Ended() || program.ending != nil {
+	if program.head.State.IsEnded() || program.ending != nil {
 		ledger.refuseUnstarted(program, call, bvverdict.Refuse(bvverdict.ProgramEnded, "the program has ended"))
 		return true
 	}
@@ -131,7 +131,7 @@
 		return
 	}
 	call.state = callUnkept
-	call.keepUntil = now.Add(ledger.settings.KeepWait)
+	call.keepUntil = now.Add(ledger.settings.CommitTimeout)
 	call.repeated = true
 	turn.waiters = append(turn.waiters, call)
 	if number <= program.durable && !slices.Contains(program.fetching, number) {
--- a/bvledger/promise_test.go
+++ b/bvledger/promise_test.go
@@ -136,7 +136,7 @@
 	host.ledger.Submit(machine.now, bvledger.Call{
 		ID: machine.lastCall, Key: request.key, Parent: machine.parents[request.key],
 		Request: request.name, Turn: request.turn, Digest: request.name,
-		Unrepeatable: request.unrepeatable, Resent: request.repeats > 0, Messages: machine.messages(request), Full: request.full, Cost: modelCost,
+		Unrepeatable: request.unrepeatable, Resent: request.repeats > 0, Messages: machine.messages(request), FullHistory: request.full, Cost: modelCost,
 		Limits: bvledger.Limits{Budget: machine.budgets[request.key], Idle: modelIdle},
 	})
 	request.repeats++
@@ -208,7 +208,7 @@
 			break
 		}
 	}
-	host.ledger.Placed(machine.now, start.Call, endpoint)
+	host.ledger.SetEndpoint(machine.now, start.Call, endpoint)
 	host.running = append(host.running, running{call: start.Call, endpoint: endpoint})
 }
 
@@ -291,7 +291,7 @@
 			if endpoint == bvledger.AnyEndpoint {
 				clear(machine.held[released.Key])
 			}
-			host.ledger.ReleaseDone(machine.now, released.Key, endpoint)
+			host.ledger.ConfirmRelease(machine.now, released.Key, endpoint)
 		}
 	}
 	host.released = nil
@@ -334,7 +334,7 @@
 func (machine *machine) forgetPlacements(host *host) {
 	for _, submission := range machine.submissions[host] {
 		key := submission.request.key
-		if submission.endpoint != "" && machine.headOf(key).State.Ended() {
+		if submission.endpoint != "" && machine.headOf(key).State.IsEnded() {
 			delete(machine.held[key], submission.endpoint)
 		}
 	}
@@ -432,7 +432,7 @@
 // with the next; one whose host finds that it is no longer the owner asks again.
 func (machine *machine) checkGoesOn() {
 	for _, key := range machine.programs {
-		if machine.headOf(key).State.Ended() || machine.parents[key] != "" {
+		if machine.headOf(key).State.IsEnded() || machine.parents[key] != "" {
 			continue
 		}
 		told := machine.tryTurn(key)
@@ -817,7 +817,7 @@
 func TestReleaseOracleCatchesALostRelease(t *testing.T) {
 	requireCaught(t, "still held", everyHost(func(effects []bvledger.Effect) []bvledger.Effect {
 		return slices.DeleteFunc(effects, func(effect bvledger.Effect) bool {
-			_, ok := effect.(bvledger.Released)
+			_, ok := effect.(bvledger.Release)
 			return ok
 		})
 	}))
--- a/bvledger/reclaim.go
+++ b/bvledger/reclaim.go
@@ -16,7 +16,7 @@
 // ReclaimScan looks through scanned head rows for programs that nobody ends:
 // those whose owner is gone, or which this host owns and has forgotten, and
 // which have been idle for their limit; and ended ones whose endpoints may
-// still hold cache. It claims and ends them; the Commit and Released effects
+// still hold cache. It claims and ends them; the Commit and Release effects
 // follow as for other programs.
 //
 // Hosts have no common clock, so idleness is how long this host has seen the
@@ -53,7 +53,7 @@
 	if head.Owner != ledger.owner && live(head.Owner) {
 		return
 	}
-	if head.State.Ended() {
+	if head.State.IsEnded() {
 		if len(head.Endpoints) > 0 {
 			ledger.reopen(now, key, row.Version, nil)
 		}
--- a/bvledger/rules_test.go
+++ b/bvledger/rules_test.go
@@ -83,7 +83,7 @@
 	host.pump(now)
 	requireRefusal(t, host, 3, bvverdict.NotRun, bvverdict.PlatformUnavailable)
 
-	now = bvclock.Time(2).Add(bvledger.DefaultKeepWait)
+	now = bvclock.Time(2).Add(bvledger.DefaultCommitTimeout)
 	host.pump(now)
 	requireRefusal(t, host, 2, bvverdict.Ran, bvverdict.PlatformUnavailable)
 	store.down = false
@@ -110,7 +110,7 @@
 		host.pump(1)
 	}
 	status, _ := host.ledger.Status(lesson)
-	require.Equal(t, bvledger.DefaultMaxUnkept, status.Unkept)
+	require.Equal(t, bvledger.DefaultMaxUncommitted, status.Uncommitted)
 }
 
 func TestProgramThatLoopsIsEndedDurably(t *testing.T) {
@@ -127,7 +127,7 @@
 	}
 	requireRefusal(t, host, 3, bvverdict.NotRun, bvverdict.LimitExceeded)
 	require.Len(t, host.released, 1)
-	host.ledger.ReleaseDone(1, lesson, "engine-1")
+	host.ledger.ConfirmRelease(1, lesson, "engine-1")
 	host.pump(1)
 	require.Zero(t, host.ledger.Programs())
 	other := newHost("b", host.store)
@@ -192,13 +192,13 @@
 	host.ledger.Finish(1, 1, bvledger.Result{Answer: []byte("a"), Message: []byte(`[{"role":"assistant","content":"a"}]`)})
 	host.pump(1)
 	other := question(2, "r2", 2)
-	other.Full = true
+	other.FullHistory = true
 	other.Messages = []byte(`["r1",{"role":"assistant","content":"b"},"r2"]`)
 	host.ledger.Submit(2, other)
 	host.pump(2)
 	requireRefusal(t, host, 2, bvverdict.NotRun, bvverdict.Conflict)
 	same := question(3, "r3", 2)
-	same.Full = true
+	same.FullHistory = true
 	same.Messages = []byte(`["r1", {"content":"a", "refusal":null, "role":"assistant"}, "r3"]`)
 	host.ledger.Submit(2, same)
 	host.pump(2)
--- a/bvledger/settings.go
+++ b/bvledger/settings.go
@@ -5,47 +5,47 @@
 // Settings bound how long a Ledger waits and how much it holds. A field that
 // is zero has its default.
 type Settings struct {
-	OrderWait    bvclock.Duration // a call waits for the turn before it
-	PrepareWait  bvclock.Duration // a call waits for its load, claim or block
-	KeepWait     bvclock.Duration // a finished answer waits for its commit
-	OnceWindow   bvclock.Duration // in which an unrepeatable call may be sent
-	SuspectAfter bvclock.Duration // a commit under way this long means an outage
-	AbortGrace   bvclock.Duration // an aborted call is waited for
-	ReleaseRetry bvclock.Duration // between two Released of one program
-	EvictAfter   bvclock.Duration // an unused program's history leaves memory
-	RetryAfter   bvclock.Duration // told to callers that may come back
-	MaxUnkept    int              // finished turns of a program without commit
-	MaxQueue     int              // calls of a program that wait
-	BlockCalls   int64            // calls that one block of budget should cover
+	OrderTimeout    bvclock.Duration // a call waits for the turn before it
+	PrepareTimeout  bvclock.Duration // a call waits for its load, claim or block
+	CommitTimeout   bvclock.Duration // a finished answer waits for its commit
+	OnceWindow      bvclock.Duration // in which an unrepeatable call may be sent
+	SuspectAfter    bvclock.Duration // a commit under way this long means an outage
+	AbortGrace      bvclock.Duration // an aborted call is waited for
+	ReleaseInterval bvclock.Duration // between two Release effects of one program
+	EvictAfter      bvclock.Duration // an unused program's history leaves memory
+	RetryAfter      bvclock.Duration // told to callers that may come back
+	MaxUncommitted  int              // finished turns of a program without commit
+	MaxQueue        int              // calls of a program that wait
+	BlockCalls      int64            // calls that one block of budget should cover
 }
 
 // The defaults.
 const (
-	DefaultOrderWait    = 10 * bvclock.Second
-	DefaultPrepareWait  = 5 * bvclock.Second
-	DefaultKeepWait     = 15 * bvclock.Second
-	DefaultOnceWindow   = 5 * bvclock.Second
-	DefaultSuspectAfter = 5 * bvclock.Second
-	DefaultAbortGrace   = 5 * bvclock.Second
-	DefaultReleaseRetry = 10 * bvclock.Second
-	DefaultEvictAfter   = bvclock.Minute
-	DefaultRetryAfter   = bvclock.Second
-	DefaultMaxUnkept    = 4
-	DefaultMaxQueue     = 64
-	DefaultBlockCalls   = 8
+	DefaultOrderTimeout    = 10 * bvclock.Second
+	DefaultPrepareTimeout  = 5 * bvclock.Second
+	DefaultCommitTimeout   = 15 * bvclock.Second
+	DefaultOnceWindow      = 5 * bvclock.Second
+	DefaultSuspectAfter    = 5 * bvclock.Second
+	DefaultAbortGrace      = 5 * bvclock.Second
+	DefaultReleaseInterval = 10 * bvclock.Second
+	DefaultEvictAfter      = bvclock.Minute
+	DefaultRetryAfter      = bvclock.Second
+	DefaultMaxUncommitted  = 4
+	DefaultMaxQueue        = 64
+	DefaultBlockCalls      = 8
 )
 
 func (settings Settings) withDefaults() Settings {
-	settings.OrderWait = either(settings.OrderWait, DefaultOrderWait)
-	settings.PrepareWait = either(settings.PrepareWait, DefaultPrepareWait)
-	settings.KeepWait = either(settings.KeepWait, DefaultKeepWait)
+	settings.OrderTimeout = either(settings.OrderTimeout, DefaultOrderTimeout)
+	settings.PrepareTimeout = either(settings.PrepareTimeout, DefaultPrepareTimeout)
+	settings.CommitTimeout = either(settings.CommitTimeout, DefaultCommitTimeout)
 	settings.OnceWindow = either(settings.OnceWindow, DefaultOnceWindow)
 	settings.SuspectAfter = either(settings.SuspectAfter, DefaultSuspectAfter)
 	settings.AbortGrace = either(settings.AbortGrace, DefaultAbortGrace)
-	settings.ReleaseRetry = either(settings.ReleaseRetry, DefaultReleaseRetry)
+	settings.ReleaseInterval = either(settings.ReleaseInterval, DefaultReleaseInterval)
 	settings.EvictAfter = either(settings.EvictAfter, DefaultEvictAfter)
 	settings.RetryAfter = either(settings.RetryAfter, DefaultRetryAfter)
-	settings.MaxUnkept = either(settings.MaxUnkept, DefaultMaxUnkept)
+	settings.MaxUncommitted = either(settings.MaxUncommitted, DefaultMaxUncommitted)
 	settings.MaxQueue = either(settings.MaxQueue, DefaultMaxQueue)
 	settings.BlockCalls = either(settings.BlockCalls, DefaultBlockCalls)
 	return settings
--- a/bvledger/start.go
+++ b/bvledger/start.go
@@ -20,7 +20,7 @@
 		call.addHistoryCost(program)
 		if call.waitsSince == 0 {
 			call.waitsSince = now
-			call.waitUntil = now.Add(ledger.settings.PrepareWait)
+			call.waitUntil = now.Add(ledger.settings.PrepareTimeout)
 		}
 		judgement, err := ledger.judge(now, program, call)
 		if err != nil {
@@ -74,17 +74,17 @@
 
 // judge decides whether the call may run as far as is known now.
 func (ledger *Ledger) judge(now bvclock.Time, program *program, call *call) (judgement, *bvverdict.Error) {
-	if program.unkept() >= ledger.settings.MaxUnkept {
+	if program.unkept() >= ledger.settings.MaxUncommitted {
 		return mustWait, nil
 	}
 	if program.headVersion == 0 && program.entry == nil {
 		program.head.Parent = call.Parent // the first call that runs makes the program
 	}
 	if limit := program.limits.Turns; limit > 0 && program.head.Calls >= limit {
-		program.ending = &ending{state: EndedLooping}
+		program.ending = &ending{state: EndedAtCallLimit}
 		return answered, bvverdict.Refuse(bvverdict.LimitExceeded, "the program has made all its %d calls", limit)
 	}
-	if call.Full {
+	if call.FullHistory {
 		if _, same := program.history.after(call.Messages); !same {
 			return answered, bvverdict.Refuse(bvverdict.Conflict, "the messages don't begin with the program's kept history")
 		}
@@ -159,9 +159,9 @@
 }
 
 func (ledger *Ledger) start(now bvclock.Time, program *program, call *call) {
-	if call.Full {
+	if call.FullHistory {
 		call.Messages, _ = program.history.after(call.Messages)
-		call.Full = false
+		call.FullHistory = false
 	}
 	call.state = callRunning
 	program.reserved = call.Cost
@@ -200,9 +200,9 @@
 	return true
 }
 
-// Placed tells which endpoint a started call goes to, before its result. The
+// SetEndpoint tells which endpoint a started call goes to, before its result. The
 // endpoint is then released even if this host dies in mid-call.
-func (ledger *Ledger) Placed(now bvclock.Time, id CallID, endpoint string) {
+func (ledger *Ledger) SetEndpoint(now bvclock.Time, id CallID, endpoint string) {
 	call := ledger.calls[id]
 	if call == nil || call.state != callRunning || call.program.gone {
 		return
@@ -289,6 +289,6 @@
 	call.joined = nil
 	for _, waiter := range turn.waiters {
 		waiter.state = callUnkept
-		waiter.keepUntil = now.Add(ledger.settings.KeepWait)
+		waiter.keepUntil = now.Add(ledger.settings.CommitTimeout)
 	}
 }
--- a/bvledger/state_string.go
+++ b/bvledger/state_string.go
@@ -9,9 +9,9 @@
 	// Re-run the stringer command to generate them again.
 	var x [1]struct{}
 	_ = x[Running-0]
-	_ = x[EndedAsked-1]
+	_ = x[EndedByCaller-1]
 	_ = x[EndedIdle-2]
-	_ = x[EndedLooping-3]
+	_ = x[EndedAtCallLimit-3]
 }
 
 const _State_name = "runningended by its callerended after its idle limitended at its limit of calls"
--- a/bvledger/status.go
+++ b/bvledger/status.go
@@ -30,22 +30,22 @@
 }
 
 // Unavailable reports whether the platform seems out of reach.
-func (ledger *Ledger) Unavailable(now bvclock.Time) bool {
+func (ledger *Ledger) IsPlatformUnavailable(now bvclock.Time) bool {
 	return ledger.suspected(now)
 }
 
 // Status is what operators may see of a program.
 type Status struct {
-	State    State
-	Owned    bool // claimed by this host
-	Epoch    int64
-	Turns    int
-	Unkept   int // finished turns without their commit
-	Spent    int64
-	Drawn    int64 // budget reserved, spent or not
-	Running  bool
-	Waiting  int // calls
-	Endpoint string
+	State       State
+	Owned       bool // claimed by this host
+	Epoch       int64
+	Turns       int
+	Uncommitted int // finished turns without their commit
+	Spent       int64
+	Drawn       int64 // budget reserved, spent or not
+	Running     bool
+	Waiting     int // calls
+	Endpoint    string
 }
 
 // Status returns what this host knows of a program; false if nothing.
@@ -55,15 +55,15 @@
 		return Status{}, false
 	}
 	return Status{
-		State:    program.head.State,
-		Owned:    program.phase == phaseOwned || program.phase == phaseCold,
-		Epoch:    program.head.Epoch,
-		Turns:    program.head.Turns,
-		Unkept:   program.unkept(),
-		Spent:    program.head.Spent,
-		Drawn:    program.head.Drawn,
-		Running:  program.isRunning(),
-		Waiting:  len(program.queue),
-		Endpoint: program.head.Endpoint,
+		State:       program.head.State,
+		Owned:       program.phase == phaseOwned || program.phase == phaseCold,
+		Epoch:       program.head.Epoch,
+		Turns:       program.head.Turns,
+		Uncommitted: program.unkept(),
+		Spent:       program.head.Spent,
+		Drawn:       program.head.Drawn,
+		Running:     program.isRunning(),
+		Waiting:     len(program.queue),
+		Endpoint:    program.head.Endpoint,
 	}, true
 }
--- a/bvledger/timer.go
+++ b/bvledger/timer.go
@@ -100,8 +100,8 @@
 
 // idleTimeout is when a program that nothing happens to is looked at.
 func (ledger *Ledger) idleTimeout(program *program) bvclock.Time {
-	if program.head.State.Ended() {
-		return program.releasedAt.Add(ledger.settings.ReleaseRetry)
+	if program.head.State.IsEnded() {
+		return program.releasedAt.Add(ledger.settings.ReleaseInterval)
 	}
 	var at bvclock.Time
 	if program.phase != phaseCold {
--- a/bvledger/world_test.go
+++ b/bvledger/world_test.go
@@ -96,7 +96,7 @@
 	inbox     []func(now bvclock.Time)
 	started   []bvledger.Start
 	running   []running
-	released  []bvledger.Released
+	released  []bvledger.Release
 	outcomes  map[bvledger.CallID]outcome
 	effects   func([]bvledger.Effect) []bvledger.Effect // broken on purpose
 }
@@ -142,12 +142,12 @@
 		switch effect := effect.(type) {
 		case bvledger.Load:
 			rows, err := host.load(effect)
-			host.inbox = append(host.inbox, func(now bvclock.Time) { host.ledger.Loaded(now, effect.Key, rows, err) })
+			host.inbox = append(host.inbox, func(now bvclock.Time) { host.ledger.HandleRows(now, effect.Key, rows, err) })
 		case bvledger.Commit:
 			host.committer.Add(effect.Entry)
 		case bvledger.Start:
 			host.started = append(host.started, effect)
-		case bvledger.Released:
+		case bvledger.Release:
 			host.released = append(host.released, effect)
 		case bvledger.Answer:
 			host.tell(effect.Call, outcome{answer: &effect})
@@ -159,19 +159,19 @@
 		switch effect := effect.(type) {
 		case bvcommit.Write:
 			version, err := host.store.Commit(context.Background(), effect.Transaction)
-			host.inbox = append(host.inbox, func(now bvclock.Time) { host.committer.Wrote(now, version, err) })
+			host.inbox = append(host.inbox, func(now bvclock.Time) { host.committer.HandleWrite(now, version, err) })
 		case bvcommit.Read:
 			rows, err := host.store.Read(context.Background(), effect.Key)
 			host.inbox = append(host.inbox, func(now bvclock.Time) {
 				if err != nil {
-					host.committer.WasRead(now, bvplatform.Row{}, err)
+					host.committer.HandleRead(now, bvplatform.Row{}, err)
 					return
 				}
-				host.committer.WasRead(now, rows[0], nil)
+				host.committer.HandleRead(now, rows[0], nil)
 			})
 		case bvcommit.Done:
 			host.inbox = append(host.inbox, func(now bvclock.Time) {
-				host.ledger.Committed(now, effect.Entry, effect.Version, effect.Err)
+				host.ledger.HandleCommit(now, effect.Entry, effect.Version, effect.Err)
 			})
 		}
 	}
@@ -186,7 +186,7 @@
 
 func (host *host) load(load bvledger.Load) ([]bvplatform.Row, error) {
 	rows, err := host.store.Read(context.Background(), load.Keys...)
-	if err != nil || !load.Turns {
+	if err != nil || !load.ScanTurns {
 		return rows, err
 	}
 	turns, err := host.store.Scan(context.Background(), bvledger.TurnPrefix(load.Key), "", 1000)
--- a/bvledger/write.go
+++ b/bvledger/write.go
@@ -75,7 +75,7 @@
 func (ledger *Ledger) claim(entry *entry) {
 	entry.claim = true
 	entry.head.Spent = entry.head.spentAtClaim()
-	if entry.head.Owner != "" && !entry.head.State.Ended() {
+	if entry.head.Owner != "" && !entry.head.State.IsEnded() {
 		entry.head.addEndpoint(AnyEndpoint)
 	}
 	entry.head.Epoch++
--- a/bvowner/owner.go
+++ b/bvowner/owner.go
@@ -126,7 +126,7 @@
 		go owner.load(effect)
 	case bvledger.Commit:
 		owner.parts.Committer.Add(effect.Entry)
-	case bvledger.Released:
+	case bvledger.Release:
 		go owner.release(effect)
 	case bvledger.Start:
 		owner.deliver(effect.Call, effect)
@@ -141,7 +141,7 @@
 
 // Committed tells the ledger the outcome of an entry.
 func (owner *Owner) ReportCommit(id bvledger.EntryID, version int64, err error) {
-	owner.do(func(now bvclock.Time) { owner.ledger.Committed(now, id, version, err) })
+	owner.do(func(now bvclock.Time) { owner.ledger.HandleCommit(now, id, version, err) })
 }
 
 // Run runs one call. Its events go to send; its error is a *bvverdict.Error.
--- a/bvowner/release.go
+++ b/bvowner/release.go
@@ -13,7 +13,7 @@
 const releaseTimeout = 3 * bvclock.Second
 
 // release tells the endpoints that hold an ended program's cache to drop it.
-func (owner *Owner) release(released bvledger.Released) {
+func (owner *Owner) release(released bvledger.Release) {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout.Std())
 	defer cancel()
 	owner.programEnded(released.Key)
@@ -25,7 +25,7 @@
 			done = owner.releaseAt(ctx, released.Key, name)
 		}
 		if done {
-			owner.do(func(now bvclock.Time) { owner.ledger.ReleaseDone(now, released.Key, name) })
+			owner.do(func(now bvclock.Time) { owner.ledger.ConfirmRelease(now, released.Key, name) })
 		}
 	}
 }
--- a/bvowner/rows.go
+++ b/bvowner/rows.go
@@ -26,12 +26,12 @@
 	ctx, cancel := context.WithTimeout(context.Background(), readTimeout.Std())
 	defer cancel()
 	rows, err := owner.read(ctx, load)
-	owner.do(func(now bvclock.Time) { owner.ledger.Loaded(now, load.Key, rows, err) })
+	owner.do(func(now bvclock.Time) { owner.ledger.HandleRows(now, load.Key, rows, err) })
 }
 
 func (owner *Owner) read(ctx context.Context, load bvledger.Load) ([]bvplatform.Row, error) {
 	rows, err := owner.parts.Store.Read(ctx, load.Keys...)
-	if err != nil || !load.Turns {
+	if err != nil || !load.ScanTurns {
 		return rows, err
 	}
 	after := ""
--- a/bvowner/session.go
+++ b/bvowner/session.go
@@ -48,7 +48,7 @@
 		Digest:       call.GetDigest(),
 		Unrepeatable: call.GetUnrepeatable(),
 		Resent:       call.GetResent(),
-		Full:         call.GetFullHistory(),
+		FullHistory:  call.GetFullHistory(),
 		Messages:     call.GetModel().GetMessages(),
 		Cost:         costOf(call),
 		HistoryCost:  historyCostOf(call),
--- a/bvowner/start.go
+++ b/bvowner/start.go
@@ -112,7 +112,7 @@
 	owner.do(func(now bvclock.Time) {
 		allowed = owner.ledger.MayStart(now, session.id)
 		if allowed && session.call.GetModel() != nil {
-			owner.ledger.Placed(now, session.id, permit.Endpoint())
+			owner.ledger.SetEndpoint(now, session.id, permit.Endpoint())
 		}
 	})
 	if !allowed {
--- a/bvrouter/handover.go
+++ b/bvrouter/handover.go
@@ -30,7 +30,7 @@
 // when the next process takes it up.
 type handover struct {
 	Stopped time.Time          `json:"stopped"`
-	Known   bvlease.Known      `json:"known"` // hosts
+	Known   bvlease.KnownHosts `json:"known"` // hosts
 	Granted []bvbudget.Granted `json:"granted"`
 }
 
@@ -63,7 +63,7 @@
 }
 
 // leftBehind is the row of a handover, if it fits into one.
-func (router *Router) leftBehind(known bvlease.Known) []bvplatform.Put {
+func (router *Router) leftBehind(known bvlease.KnownHosts) []bvplatform.Put {
 	encoded, err := json.Marshal(handover{Stopped: time.Now(), Known: known, Granted: router.budgets.Granted()})
 	if err != nil || len(encoded) > int(handoverShare*float64(router.settings.RowBytes)) {
 		router.log.WithError(err).WithField("bytes", len(encoded)).Warn("grants are too many to be handed over")
@@ -112,11 +112,11 @@
 	inherited := router.inheritance != nil && grantor
 	if inherited {
 		router.budgets.Inherit(router.inheritance.Granted)
-		router.leases.Succeed(router.clock.Now(), router.inheritance.Known)
+		router.leases.Inherit(router.clock.Now(), router.inheritance.Known)
 	}
 	router.inheritance = nil
 	if grantor {
-		router.leases.Wrote(router.clock.Now())
+		router.leases.RecordWrite(router.clock.Now())
 	}
 	router.log.WithFields(logrus.Fields{"grantor": grantor, "inherited": inherited}).Info("host is listed")
 }
@@ -139,7 +139,7 @@
 		return handover{}, false
 	}
 	age := time.Since(left.Stopped)
-	return left, age > -clockSkew && age+clockSkew < bvlease.HandoverTime.Std()
+	return left, age > -clockSkew && age+clockSkew < bvlease.MaxHandoverAge.Std()
 }
 
 // ownRow is this host's row in the list.
--- a/bvrouter/hosts.go
+++ b/bvrouter/hosts.go
@@ -64,7 +64,7 @@
 // firstListIsDue reports whether the list is still to be read that shows all hosts of the
 // system's first start. A list that other hosts read comes with their age.
 func (router *Router) firstListIsDue() bool {
-	return router.settings.FirstStart && router.hostsAsOf.Sub(router.started) < bvlease.FirstRead
+	return router.settings.FirstStart && router.hostsAsOf.Sub(router.started) < bvlease.FirstReadDelay
 }
 
 // mustList reports whether this host is to be listed, or listed anew: its row may
@@ -105,7 +105,7 @@
 	router.gossip.SetHosts(addresses)
 	router.shareHosts(hosts, asOf)
 	router.noteReads()
-	router.leases.Listed(asOf, router.clock.Now(), grantors)
+	router.leases.UpdateList(asOf, router.clock.Now(), grantors)
 	return nil
 }
 
--- a/bvrouter/relay.go
+++ b/bvrouter/relay.go
@@ -32,7 +32,7 @@
 
 // relayConversation gives what this host has at hand of a conversation.
 func (router *Router) relayConversation(writer http.ResponseWriter, request *http.Request) {
-	chain := router.histories.Recall(request.PathValue("turn"))
+	chain := router.histories.CachedChain(request.PathValue("turn"))
 	if chain == nil {
 		writer.WriteHeader(http.StatusNotFound)
 		return
--- a/bvrouter/router.go
+++ b/bvrouter/router.go
@@ -276,7 +276,7 @@
 
 // granting reports whether budgets can be granted without the store.
 func (router *Router) granting() bool {
-	return router.PeerCount() > 0 && router.leases.Confirmed(router.clock.Now())
+	return router.PeerCount() > 0 && router.leases.IsConfirmed(router.clock.Now())
 }
 
 // Run serves until ctx ends, and then stops without cutting off a request.
