--- a/bvbudget/allocator.go
+++ b/bvbudget/allocator.go
@@ -26,7 +26,7 @@
 //
 //	allocator := bvbudget.NewAllocator(store, lenders, incarnation, clock, log)
 //	allocator.SetGrantors(grantors) // without it, the store records whole budgets
-//	reservation, err := allocator.Reserve(ctx, bvbudget.Turn{Program: id, Budget: 4576, Most: 572})
+//	reservation, err := allocator.Reserve(ctx, bvbudget.Turn{Program: id, Budget: 4576, MaxTokens: 572})
 //	defer reservation.Close()
 //	reservation.Spend(22) // for each event, before it is handed on
 //
@@ -71,40 +71,40 @@
 
 // Lenders are the other hosts.
 type Lenders interface {
-	// Ask waits a short time for a host to give up tokens; they come by
-	// Allocator.Lent, also when they are late. A host that is known to be silent
+	// RequestTokens waits a short time for a host to give up tokens; they come by
+	// Allocator.AcceptTokens, also when they are late. A host that is known to be silent
 	// is not asked; one that withholds tokens counts as not having answered.
-	Ask(ctx context.Context, host string, want Want) (asked, answered bool)
-	// Address returns where to ask an incarnation of a host, if it is heard.
-	Address(incarnation string) (host string, heard bool)
+	RequestTokens(ctx context.Context, host string, want TokenRequest) (asked, answered bool)
+	// AddressOfIncarnation returns where to ask an incarnation of a host, if it is heard.
+	AddressOfIncarnation(incarnation string) (host string, heard bool)
 }
 
-// Want is what one host asks of another.
-type Want struct {
-	Program string
-	Tokens  int              // that are missing for a turn
-	Partial bool             // fewer are of use too
-	Budget  int              // tokens of the whole program
-	Most    int              // tokens that the turn may generate
-	Retain  bvclock.Duration // how long the budget is kept after the last turn
-	Grantor bool             // the asker takes this host for the program's grantor
+// TokenRequest is what one host asks of another.
+type TokenRequest struct {
+	Program   string
+	Tokens    int              // that are missing for a turn
+	Partial   bool             // fewer are of use too
+	Budget    int              // tokens of the whole program
+	MaxTokens int              // tokens that the turn may generate
+	Retain    bvclock.Duration // how long the budget is kept after the last turn
+	AsGrantor bool             // the asker takes this host for the program's grantor
 }
 
-// Given is the answer to a Want.
-type Given struct {
+// TokenReply is the answer to a TokenRequest.
+type TokenReply struct {
 	Tokens  int
 	Holders []string // addresses of other hosts that may hold some
-	// Withheld: there may be more, which this host can neither grant nor deny. It
+	// Undecided: there may be more, which this host can neither grant nor deny. It
 	// is the program's grantor and can't tell what was granted before it started,
 	// or it knows of none, or of another one than the asker does.
-	Withheld bool
+	Undecided bool
 }
 
 // Turn is what is reserved for.
 type Turn struct {
 	Program   string
 	Budget    int // tokens of the whole program
-	Most      int // tokens that the turn may generate
+	MaxTokens int // tokens that the turn may generate
 	Continues bool
 	Retain    bvclock.Duration // how long the budget is kept after the last turn
 }
@@ -142,9 +142,9 @@
 	return allocator
 }
 
-// SetSettle sets the time after which what a turn has spent must be settled. It
+// SetSettleTime sets the time after which what a turn has spent must be settled. It
 // is called before the first turn.
-func (allocator *Allocator) SetSettle(settle bvclock.Duration) { allocator.settle = settle }
+func (allocator *Allocator) SetSettleTime(settle bvclock.Duration) { allocator.settle = settle }
 
 // SetLending tells whether this host gives up what it holds to other hosts; it does
 // unless an experiment says otherwise.
@@ -161,7 +161,7 @@
 // the store can't be asked.
 func (allocator *Allocator) Reserve(ctx context.Context, turn Turn) (*Reservation, error) {
 	account := allocator.open(turn)
-	defer allocator.stopWaiting(account, turn.Most)
+	defer allocator.stopWaiting(account, turn.MaxTokens)
 	if reservation := allocator.takeFree(account, turn); reservation != nil {
 		return reservation, nil
 	}
@@ -187,8 +187,8 @@
 		found = &account{program: turn.Program, turn: make(chan struct{}, 1), known: true}
 		allocator.accounts[turn.Program] = found
 	}
-	found.wanted += turn.Most
-	found.most = turn.Most
+	found.wanted += turn.MaxTokens
+	found.most = turn.MaxTokens
 	found.budget = allocator.stored(turn)
 	found.retain = max(found.retain, turn.Retain)
 	found.usedAt = allocator.clock.Now()
@@ -205,16 +205,16 @@
 func (allocator *Allocator) takeFree(account *account, turn Turn) *Reservation {
 	allocator.mutex.Lock()
 	defer allocator.mutex.Unlock()
-	if account.free < turn.Most {
+	if account.free < turn.MaxTokens {
 		return nil
 	}
-	account.free -= turn.Most
-	account.open += turn.Most
-	return &Reservation{allocator: allocator, account: account, left: turn.Most}
+	account.free -= turn.MaxTokens
+	account.open += turn.MaxTokens
+	return &Reservation{allocator: allocator, account: account, left: turn.MaxTokens}
 }
 
-// Writes returns how many writes were tried so far.
-func (allocator *Allocator) Writes() int64 {
+// WriteCount returns how many writes were tried so far.
+func (allocator *Allocator) WriteCount() int64 {
 	allocator.mutex.Lock()
 	defer allocator.mutex.Unlock()
 	return allocator.writes
--- a/bvbudget/grant.go
+++ b/bvbudget/grant.go
@@ -42,29 +42,29 @@
 	if allocator.grantors == nil {
 		return turn.Budget
 	}
-	return half(turn.Budget, turn.Most)
+	return half(turn.Budget, turn.MaxTokens)
 }
 
 // grant gives out tokens of a program's first half if this host may. For what
-// withheld means, see Given. Hosts that have just started read lists that are not
+// withheld means, see TokenReply. Hosts that have just started read lists that are not
 // complete yet, and each names another grantor; whoever is asked in its place must
 // not deny what the right one has. The caller holds the mutex.
-func (allocator *Allocator) grant(want Want) (tokens int, withheld bool) {
+func (allocator *Allocator) grant(want TokenRequest) (tokens int, withheld bool) {
 	now := allocator.clock.Now()
 	if allocator.grantors == nil {
 		return 0, false
 	}
 	if !allocator.grantors.MayGrant(now, want.Program, want.Retain) {
 		holder, found := allocator.grantors.Holder(want.Program)
-		return 0, want.Grantor || !found || holder.Incarnation == allocator.host
+		return 0, want.AsGrantor || !found || holder.Incarnation == allocator.host
 	}
 	found := allocator.grants[want.Program]
 	if found == nil {
-		found = &grant{left: half(want.Budget, want.Most)}
+		found = &grant{left: half(want.Budget, want.MaxTokens)}
 		allocator.grants[want.Program] = found
 	}
 	found.usedAt, found.retain = now, max(found.retain, want.Retain)
-	tokens = block(found.left, want.Tokens, want.Most)
+	tokens = block(found.left, want.Tokens, want.MaxTokens)
 	if found.left < want.Tokens {
 		tokens = 0
 		if want.Partial {
@@ -79,7 +79,7 @@
 func (allocator *Allocator) grantHere(account *account, turn Turn, partial bool) (withheld bool) {
 	allocator.mutex.Lock()
 	defer allocator.mutex.Unlock()
-	need := turn.Most - account.free
+	need := turn.MaxTokens - account.free
 	if need <= 0 {
 		return false
 	}
@@ -89,10 +89,10 @@
 }
 
 // want is what a turn needs of another host.
-func (turn Turn) want(tokens int, partial bool) Want {
-	return Want{
+func (turn Turn) want(tokens int, partial bool) TokenRequest {
+	return TokenRequest{
 		Program: turn.Program, Tokens: tokens, Partial: partial,
-		Budget: turn.Budget, Most: turn.Most, Retain: turn.Retain,
+		Budget: turn.Budget, MaxTokens: turn.MaxTokens, Retain: turn.Retain,
 	}
 }
 
@@ -109,8 +109,8 @@
 	return holder.Address
 }
 
-// Grants returns how many programs this host has granted for.
-func (allocator *Allocator) Grants() int {
+// GrantCount returns how many programs this host has granted for.
+func (allocator *Allocator) GrantCount() int {
 	allocator.mutex.Lock()
 	defer allocator.mutex.Unlock()
 	return len(allocator.grants)
@@ -126,34 +126,34 @@
 	}
 }
 
-// Granted is what a grantor knows of one program, for the next process of its
+// GrantState is what a grantor knows of one program, for the next process of its
 // host.
-type Granted struct {
+type GrantState struct {
 	Program string           `json:"program"`
 	Left    int              `json:"left"`   // tokens not granted yet
 	Idle    bvclock.Duration `json:"idle"`   // since the last grant, in milliseconds
 	Retain  bvclock.Duration `json:"retain"` // how long the program may pause, in milliseconds
 }
 
-// Granted returns all grants of programs that are not over. It is called when
+// ExportGrants returns all grants of programs that are not over. It is called when
 // this host grants nothing more.
-func (allocator *Allocator) Granted() []Granted {
+func (allocator *Allocator) ExportGrants() []GrantState {
 	now := allocator.clock.Now()
 	allocator.mutex.Lock()
 	defer allocator.mutex.Unlock()
 	allocator.forgetGrants(now)
-	granted := make([]Granted, 0, len(allocator.grants))
+	granted := make([]GrantState, 0, len(allocator.grants))
 	for program, grant := range allocator.grants {
-		granted = append(granted, Granted{
+		granted = append(granted, GrantState{
 			Program: program, Left: grant.left, Idle: now.Sub(grant.usedAt), Retain: grant.retain,
 		})
 	}
 	return granted
 }
 
-// Inherit takes over the grants of this host's last process, before this one
+// ImportGrants takes over the grants of this host's last process, before this one
 // grants anything.
-func (allocator *Allocator) Inherit(granted []Granted) {
+func (allocator *Allocator) ImportGrants(granted []GrantState) {
 	now := allocator.clock.Now()
 	allocator.mutex.Lock()
 	defer allocator.mutex.Unlock()
--- a/bvbudget/half_test.go
+++ b/bvbudget/half_test.go
@@ -52,7 +52,7 @@
 	next := grantor.world.allocators[host]
 	next.SetGrantors(grantorAt{grantor, next.host})
 	if handover && before.host == grantor.incarnation {
-		next.Inherit(before.Granted())
+		next.ImportGrants(before.ExportGrants())
 		grantor.incarnation = next.host
 	}
 }
@@ -78,12 +78,12 @@
 			},
 			"pause": func(rt *rapid.T) {
 				world.clock.Advance(defaultSettle)
-				world.allocators[hosts.Draw(rt, "host")].Tidy(context.Background())
+				world.allocators[hosts.Draw(rt, "host")].ReleaseIdle(context.Background())
 			},
 			"late": func(rt *rapid.T) {
 				world.carryOutLate()
 				for _, letter := range world.letters {
-					world.allocators[letter.host].Lent(letter.program, letter.tokens, nil)
+					world.allocators[letter.host].AcceptTokens(letter.program, letter.tokens, nil)
 				}
 				world.letters = nil
 			},
@@ -184,10 +184,10 @@
 // Guards against a wrong host's no that counts as the grantor's.
 func TestHostThatIsWronglyTakenForTheGrantorDeniesNothing(t *testing.T) {
 	world, _ := newHalvesWorld()
-	want := Want{Program: "p", Tokens: testMost, Budget: testBudget, Most: testMost, Partial: true}
-	require.Equal(t, Given{}, world.allocators["b"].Lend("c", want))
-	want.Grantor = true
-	require.Equal(t, Given{Withheld: true}, world.allocators["b"].Lend("c", want))
+	want := TokenRequest{Program: "p", Tokens: testMost, Budget: testBudget, MaxTokens: testMost, Partial: true}
+	require.Equal(t, TokenReply{}, world.allocators["b"].LendTokens("c", want))
+	want.AsGrantor = true
+	require.Equal(t, TokenReply{Undecided: true}, world.allocators["b"].LendTokens("c", want))
 }
 
 // A program is over for so long that it can't come back. Its grantor forgets it.
@@ -196,6 +196,6 @@
 	require.NoError(t, world.reserve("b", "p", false))
 	require.Len(t, world.allocators["a"].grants, 1)
 	world.clock.Advance(bvclock.Minute + bvlease.MaxProgramTime + 1)
-	world.allocators["a"].Tidy(context.Background())
+	world.allocators["a"].ReleaseIdle(context.Background())
 	require.Empty(t, world.allocators["a"].grants)
 }
--- a/bvbudget/lend.go
+++ b/bvbudget/lend.go
@@ -18,9 +18,9 @@
 	hostsPerProgram = 8
 )
 
-// Begun returns the hashes of programs that this host has reserved tokens of
+// TakeReservedPrograms returns the hashes of programs that this host has reserved tokens of
 // since the last call, for telling other hosts.
-func (allocator *Allocator) Begun() []uint64 {
+func (allocator *Allocator) TakeReservedPrograms() []uint64 {
 	allocator.mutex.Lock()
 	defer allocator.mutex.Unlock()
 	begun := allocator.begun
@@ -28,8 +28,8 @@
 	return begun
 }
 
-// Holds notes that another host has reserved tokens of programs.
-func (allocator *Allocator) Holds(host string, programs []uint64) {
+// AddHolder notes that another host has reserved tokens of programs.
+func (allocator *Allocator) AddHolder(host string, programs []uint64) {
 	allocator.mutex.Lock()
 	defer allocator.mutex.Unlock()
 	for _, program := range programs {
@@ -74,11 +74,11 @@
 		}
 		tried[host] = true
 		allocator.mutex.Lock()
-		need := turn.Most - account.free
+		need := turn.MaxTokens - account.free
 		allocator.mutex.Unlock()
 		want := turn.want(need, partial)
-		want.Grantor = host == grantor
-		asked, answered := allocator.lenders.Ask(ctx, host, want)
+		want.AsGrantor = host == grantor
+		asked, answered := allocator.lenders.RequestTokens(ctx, host, want)
 		sure = sure && (answered || !asked && host != grantor)
 		if reservation := allocator.takeFree(account, turn); reservation != nil {
 			return reservation, sure
@@ -112,7 +112,7 @@
 		}
 	}
 	return slices.ContainsFunc(granted, func(incarnation string) bool {
-		_, heard := allocator.lenders.Address(incarnation)
+		_, heard := allocator.lenders.AddressOfIncarnation(incarnation)
 		return incarnation != allocator.host && !heard
 	})
 }
@@ -137,7 +137,7 @@
 		}
 	}
 	for _, incarnation := range granted {
-		host, heard := allocator.lenders.Address(incarnation)
+		host, heard := allocator.lenders.AddressOfIncarnation(incarnation)
 		if incarnation != allocator.host && heard && !tried[host] {
 			return host, true
 		}
@@ -145,21 +145,21 @@
 	return "", false
 }
 
-// Lend gives up tokens for another host: at least as many as it asks for, or
+// LendTokens gives up tokens for another host: at least as many as it asks for, or
 // none; with partial, as many as there are up to that. They come from what this
 // host holds, or from what it may grant. The answer names the other hosts that may
 // hold tokens of the program, as far as they are known here: no record names
 // those that hold only what was lent to them.
-func (allocator *Allocator) Lend(borrower string, want Want) Given {
+func (allocator *Allocator) LendTokens(borrower string, want TokenRequest) TokenReply {
 	allocator.mutex.Lock()
 	defer allocator.mutex.Unlock()
 	hash := xxhash.Sum64String(want.Program)
-	given := Given{Tokens: allocator.lendFree(want)}
+	given := TokenReply{Tokens: allocator.lendFree(want)}
 	given.Holders, _ = allocator.holders.Get(hash)
 	if given.Tokens < want.Tokens {
 		want.Tokens -= given.Tokens
 		granted, withheld := allocator.grant(want)
-		given.Tokens, given.Withheld = given.Tokens+granted, withheld
+		given.Tokens, given.Undecided = given.Tokens+granted, withheld
 	}
 	if given.Tokens > 0 {
 		allocator.noteHolder(hash, borrower)
@@ -168,7 +168,7 @@
 }
 
 // lendFree gives up what this host holds of a program's budget.
-func (allocator *Allocator) lendFree(want Want) int {
+func (allocator *Allocator) lendFree(want TokenRequest) int {
 	account := allocator.accounts[want.Program]
 	if account == nil || allocator.keeps || account.free < want.Tokens && !want.Partial {
 		return 0
@@ -178,9 +178,9 @@
 	return lent
 }
 
-// Lent takes in tokens that another host has given up, and the hosts that it
+// AcceptTokens takes in tokens that another host has given up, and the hosts that it
 // named.
-func (allocator *Allocator) Lent(program string, tokens int, holders []string) {
+func (allocator *Allocator) AcceptTokens(program string, tokens int, holders []string) {
 	allocator.mutex.Lock()
 	defer allocator.mutex.Unlock()
 	hash := xxhash.Sum64String(program)
--- a/bvbudget/promise_test.go
+++ b/bvbudget/promise_test.go
@@ -70,12 +70,12 @@
 	self  string
 }
 
-func (lenders lossyLenders) Ask(_ context.Context, host string, want Want) (asked, answered bool) {
+func (lenders lossyLenders) RequestTokens(_ context.Context, host string, want TokenRequest) (asked, answered bool) {
 	lender := lenders.world.allocators[host]
 	if lender == nil || host == lenders.self || lenders.world.deaf {
 		return false, false
 	}
-	given := lender.Lend(lenders.self, want)
+	given := lender.LendTokens(lenders.self, want)
 	switch lenders.world.lending {
 	case "lost":
 		return true, false
@@ -83,13 +83,13 @@
 		lenders.world.letters = append(lenders.world.letters, letter{lenders.self, want.Program, given.Tokens})
 		return true, false
 	}
-	lenders.world.allocators[lenders.self].Lent(want.Program, given.Tokens, given.Holders)
-	return true, !given.Withheld
+	lenders.world.allocators[lenders.self].AcceptTokens(want.Program, given.Tokens, given.Holders)
+	return true, !given.Undecided
 }
 
-// Address implements Lenders: an incarnation of the world's is its host's name
+// AddressOfIncarnation implements Lenders: an incarnation of the world's is its host's name
 // and a number.
-func (lenders lossyLenders) Address(incarnation string) (string, bool) {
+func (lenders lossyLenders) AddressOfIncarnation(incarnation string) (string, bool) {
 	for host, allocator := range lenders.world.allocators {
 		if allocator.host == incarnation && !lenders.world.deaf {
 			return host, true
@@ -170,10 +170,10 @@
 // tellHolders passes on which hosts hold which programs, as digests do.
 func (world *world) tellHolders() {
 	for host, allocator := range world.allocators {
-		begun := allocator.Begun()
+		begun := allocator.TakeReservedPrograms()
 		for other, listener := range world.allocators {
 			if other != host {
-				listener.Holds(host, begun)
+				listener.AddHolder(host, begun)
 			}
 		}
 	}
@@ -202,7 +202,7 @@
 
 func (world *world) reserve(host, program string, continues bool) error {
 	reservation, err := world.allocators[host].Reserve(context.Background(), Turn{
-		Program: program, Budget: testBudget, Most: testMost, Continues: continues, Retain: bvclock.Minute,
+		Program: program, Budget: testBudget, MaxTokens: testMost, Continues: continues, Retain: bvclock.Minute,
 	})
 	if err == nil {
 		world.open = append(world.open, reservation)
@@ -245,14 +245,14 @@
 			"pause": func(rt *rapid.T) {
 				world.store.next = rapid.SampledFrom([]string{"", "down", "lost", "late", "never"}).Draw(rt, "fault")
 				world.clock.Advance(defaultSettle)
-				world.allocators[hosts.Draw(rt, "host")].Tidy(context.Background())
+				world.allocators[hosts.Draw(rt, "host")].ReleaseIdle(context.Background())
 			},
 			"late write": func(rt *rapid.T) {
 				world.carryOutLate()
 			},
 			"late answer": func(rt *rapid.T) {
 				for _, letter := range world.letters {
-					world.allocators[letter.host].Lent(letter.program, letter.tokens, nil)
+					world.allocators[letter.host].AcceptTokens(letter.program, letter.tokens, nil)
 				}
 				world.letters = nil
 			},
@@ -356,7 +356,7 @@
 		for turn := range 30 {
 			host := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "host")
 			reservation, err := world.allocators[host].Reserve(context.Background(), Turn{
-				Program: "p", Budget: testBudget, Most: testMost, Continues: turn > 0, Retain: bvclock.Minute,
+				Program: "p", Budget: testBudget, MaxTokens: testMost, Continues: turn > 0, Retain: bvclock.Minute,
 			})
 			if told {
 				world.tellHolders()
@@ -397,7 +397,7 @@
 	require.True(t, world.open[0].Spend(testEvent))
 	world.open[0].Close()
 	world.clock.Advance(defaultSettle)
-	world.allocators["a"].Tidy(context.Background())
+	world.allocators["a"].ReleaseIdle(context.Background())
 	world.restart("a")
 	for range 2 {
 		require.NoError(t, world.reserve("b", "p", true))
@@ -409,7 +409,7 @@
 	world := newWorld()
 	require.NoError(t, world.reserve("a", "p", false))
 	world.open[0].Close()
-	world.allocators["a"].GiveUp(context.Background())
+	world.allocators["a"].ReleaseUnspent(context.Background())
 	world.restart("a")
 	for range testBudget / testMost {
 		require.NoError(t, world.reserve("b", "p", true))
@@ -423,7 +423,7 @@
 	world.open[0].Close()
 	world.clock.Advance(defaultSettle)
 	world.store.next = "late"
-	world.allocators["a"].Tidy(context.Background())
+	world.allocators["a"].ReleaseIdle(context.Background())
 	require.NotEmpty(t, world.store.late)
 	require.NoError(t, world.reserve("a", "p", true))
 	world.carryOutLate()
@@ -447,7 +447,7 @@
 	require.NoError(t, world.reserve("a", "p", false))
 	world.open[0].Close()
 	world.clock.Advance(bvclock.Minute + forgetAfter + 1)
-	world.allocators["a"].Tidy(context.Background())
+	world.allocators["a"].ReleaseIdle(context.Background())
 	rows, err := world.store.Memory.Scan(context.Background(), "budget/", "", 10)
 	require.NoError(t, err)
 	require.Empty(t, rows)
--- a/bvbudget/reserve.go
+++ b/bvbudget/reserve.go
@@ -115,10 +115,10 @@
 	allocator.mutex.Lock()
 	defer allocator.mutex.Unlock()
 	budget := allocator.stored(turn)
-	if block, fits = account.record.grow(budget, account.wanted-account.free, turn.Most); fits {
+	if block, fits = account.record.grow(budget, account.wanted-account.free, turn.MaxTokens); fits {
 		return block, true
 	}
-	return account.record.grow(budget, turn.Most-account.free, turn.Most)
+	return account.record.grow(budget, turn.MaxTokens-account.free, turn.MaxTokens)
 }
 
 func (allocator *Allocator) exceeded(account *account, turn Turn) error {
@@ -133,7 +133,7 @@
 	defer allocator.mutex.Unlock()
 	allocator.log.WithFields(logrus.Fields{
 		"program": turn.Program, "budget": turn.Budget, "stored": account.budget, "reserved": account.record.total(),
-		"reserved_here": account.credited, "free_here": account.free, "most": turn.Most, "row_version": account.version,
+		"reserved_here": account.credited, "free_here": account.free, "most": turn.MaxTokens, "row_version": account.version,
 		"grantor": grantor,
 	}).Info(decision)
 }
--- a/bvbudget/tidy.go
+++ b/bvbudget/tidy.go
@@ -16,9 +16,9 @@
 // tidyWrites is how many accounts are tidied at once.
 const tidyWrites = 8
 
-// Tidy gives back what lies unspent and forgets programs that are long over.
+// ReleaseIdle gives back what lies unspent and forgets programs that are long over.
 // It is called a few times a second.
-func (allocator *Allocator) Tidy(ctx context.Context) {
+func (allocator *Allocator) ReleaseIdle(ctx context.Context) {
 	returns, forgotten := allocator.due()
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(tidyWrites)
@@ -72,11 +72,11 @@
 	}
 }
 
-// GiveUp gives back all that lies unspent here, before a planned stop: what a
+// ReleaseUnspent gives back all that lies unspent here, before a planned stop: what a
 // host holds when it ends counts as spent, and programs whose next turns come
 // through other hosts would be told that their budgets are spent. It goes on
 // until ctx ends or all is given back.
-func (allocator *Allocator) GiveUp(ctx context.Context) {
+func (allocator *Allocator) ReleaseUnspent(ctx context.Context) {
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(tidyWrites)
 	for _, account := range allocator.recent() {
--- a/bvdispatch/dispatcher.go
+++ b/bvdispatch/dispatcher.go
@@ -30,16 +30,16 @@
 // Trackers are the hosts that count the calls at endpoints. Endpoints go by the hashes
 // of their IDs.
 type Trackers interface {
-	// Counts asks how many calls the other hosts have at endpoints now. Endpoints of
+	// QueryRunning asks how many calls the other hosts have at endpoints now. Endpoints of
 	// which it is not known are missing.
-	Counts(endpoints []uint64) map[uint64]int
-	// Used tells how many calls this host has at an endpoint now.
-	Used(endpoint uint64, running int)
-	// Holder asks which endpoint has a conversation of a program, and how many tokens of
+	QueryRunning(endpoints []uint64) map[uint64]int
+	// ReportRunning tells how many calls this host has at an endpoint now.
+	ReportRunning(endpoint uint64, running int)
+	// QueryHolding asks which endpoint has a conversation of a program, and how many tokens of
 	// it. A conversation that is not known is where the program's last turn was.
-	Holder(program, conversation uint64) (endpoint uint64, tokens int, found bool)
-	// Holds tells which endpoint has a conversation.
-	Holds(program, conversation, endpoint uint64, tokens int)
+	QueryHolding(program, conversation uint64) (endpoint uint64, tokens int, found bool)
+	// ReportHolding tells which endpoint has a conversation.
+	ReportHolding(program, conversation, endpoint uint64, tokens int)
 }
 
 // SetTrackers lets decisions ask trackers. It is called before the first call.
@@ -165,7 +165,7 @@
 		return
 	}
 	request.sought = true
-	if endpoint, tokens, found := dispatcher.trackers.Holder(request.Program, request.Conversation); found {
+	if endpoint, tokens, found := dispatcher.trackers.QueryHolding(request.Program, request.Conversation); found {
 		request.Held = Held{Endpoint: endpoint, Tokens: tokens}
 	}
 }
@@ -185,7 +185,7 @@
 	if len(shortlist) < 2 {
 		return nil // there is no choice
 	}
-	return dispatcher.trackers.Counts(shortlist)
+	return dispatcher.trackers.QueryRunning(shortlist)
 }
 
 func (dispatcher *Dispatcher) shortlist(service string, request *Request) []uint64 {
@@ -219,7 +219,7 @@
 // with the lock held: the trackers ask this dispatcher in turn.
 func (dispatcher *Dispatcher) tell(endpoint uint64, running int) {
 	if dispatcher.trackers != nil && !dispatcher.without.Has(bvmechanism.Probes) {
-		dispatcher.trackers.Used(endpoint, running)
+		dispatcher.trackers.ReportRunning(endpoint, running)
 	}
 }
 
@@ -330,7 +330,7 @@
 	hash := HashID(endpoint)
 	dispatcher.tell(hash, dispatcher.end(service, endpoint, hash, request, result))
 	if result.Outcome == Served && dispatcher.tracks(request) {
-		dispatcher.trackers.Holds(request.Program, request.Conversation, hash, request.PromptTokens+result.Made)
+		dispatcher.trackers.ReportHolding(request.Program, request.Conversation, hash, request.PromptTokens+result.Made)
 	}
 }
 
--- a/bvdispatch/shortlist_test.go
+++ b/bvdispatch/shortlist_test.go
@@ -18,20 +18,20 @@
 	wanted []uint64
 }
 
-func (trackers *fakeTrackers) Holder(_, conversation uint64) (endpoint uint64, tokens int, found bool) {
+func (trackers *fakeTrackers) QueryHolding(_, conversation uint64) (endpoint uint64, tokens int, found bool) {
 	trackers.wanted = append(trackers.wanted, conversation)
 	held, found := trackers.held[conversation]
 	return held.Endpoint, held.Tokens, found
 }
 
-func (trackers *fakeTrackers) Holds(_, conversation, endpoint uint64, tokens int) {
+func (trackers *fakeTrackers) ReportHolding(_, conversation, endpoint uint64, tokens int) {
 	if trackers.held == nil {
 		trackers.held = make(map[uint64]Held)
 	}
 	trackers.held[conversation] = Held{Endpoint: endpoint, Tokens: tokens}
 }
 
-func (trackers *fakeTrackers) Counts(endpoints []uint64) map[uint64]int {
+func (trackers *fakeTrackers) QueryRunning(endpoints []uint64) map[uint64]int {
 	trackers.asked = append(trackers.asked, endpoints)
 	counts := make(map[uint64]int)
 	for _, endpoint := range endpoints {
@@ -42,7 +42,7 @@
 	return counts
 }
 
-func (trackers *fakeTrackers) Used(endpoint uint64, running int) {
+func (trackers *fakeTrackers) ReportRunning(endpoint uint64, running int) {
 	if trackers.used == nil {
 		trackers.used = make(map[uint64]int)
 	}
--- a/bventry/entry.go
+++ b/bventry/entry.go
@@ -157,7 +157,7 @@
 }
 
 func (entry *Entry) distrust(host bvplatform.Host) {
-	if entry.view.Distrust(entry.clock.Now(), host.Name) {
+	if entry.view.MarkUnreachable(entry.clock.Now(), host.Name) {
 		entry.log.WithField("host", host.Name).Warn("host was lost during a call")
 	}
 }
--- a/bvfront/turn.go
+++ b/bvfront/turn.go
@@ -79,7 +79,7 @@
 	call.reservation, err = call.front.parts.Budgets.Reserve(call.ctx, bvbudget.Turn{
 		Program:   call.scoped(call.metadata.Program),
 		Budget:    call.metadata.Budget,
-		Most:      most,
+		MaxTokens: most,
 		Continues: call.metadata.Continues(),
 		Retain:    call.route.Retain,
 	})
--- a/bvgossip/ask.go
+++ b/bvgossip/ask.go
@@ -23,11 +23,11 @@
 	askedAt  bvclock.Time
 }
 
-// Ask asks a host for tokens of a program's budget and waits for its answer a
-// short time. What it gives goes to the Handler's Lent, also when it is late. A
+// RequestTokens asks a host for tokens of a program's budget and waits for its answer a
+// short time. What it gives goes to the Handler's AcceptTokens, also when it is late. A
 // host that is silent is not asked, and one that withholds some has not answered
-// the question whether there is more. Ask sets the question's number.
-func (gossip *Gossip) Ask(ctx context.Context, host netip.AddrPort, ask *Ask) (asked, answered bool) {
+// the question whether there is more. RequestTokens sets the question's number.
+func (gossip *Gossip) RequestTokens(ctx context.Context, host netip.AddrPort, ask *Ask) (asked, answered bool) {
 	if gossip.silent(host) {
 		return false, false
 	}
@@ -43,13 +43,13 @@
 	return true, false
 }
 
-// Address returns the address of a host's incarnation, if it is heard.
-func (gossip *Gossip) Address(incarnation string) (netip.AddrPort, bool) {
+// AddressOfIncarnation returns the address of a host's incarnation, if it is heard.
+func (gossip *Gossip) AddressOfIncarnation(incarnation string) (netip.AddrPort, bool) {
 	return gossip.find(func(digest *Digest) bool { return digest.GetIncarnation() == incarnation })
 }
 
-// AddressOf returns the address of a host by its name, if it is heard.
-func (gossip *Gossip) AddressOf(host string) (netip.AddrPort, bool) {
+// AddressOfHost returns the address of a host by its name, if it is heard.
+func (gossip *Gossip) AddressOfHost(host string) (netip.AddrPort, bool) {
 	return gossip.find(func(digest *Digest) bool { return digest.GetHost() == host })
 }
 
@@ -96,6 +96,6 @@
 	if asked == nil {
 		return
 	}
-	handler.Lent(lend.GetProgram(), int(lend.GetTokens()), lend.GetHolders())
+	handler.AcceptTokens(lend.GetProgram(), int(lend.GetTokens()), lend.GetHolders())
 	asked.answered <- lend
 }
--- a/bvgossip/claim.go
+++ b/bvgossip/claim.go
@@ -40,8 +40,8 @@
 // IsSelf reports whether an address is this host's own.
 func (gossip *Gossip) IsSelf(address netip.AddrPort) bool { return address == gossip.own.address }
 
-// Claim asks an allocator for a request. It returns nil where no answer came in time.
-func (gossip *Gossip) Claim(allocator netip.AddrPort, claim *Claim) (claimed *Claimed) {
+// SendClaim asks an allocator for a request. It returns nil where no answer came in time.
+func (gossip *Gossip) SendClaim(allocator netip.AddrPort, claim *Claim) (claimed *Claimed) {
 	probes := map[netip.AddrPort]*Probe{allocator: {Claim: claim}}
 	gossip.ask(probes, claimTimeout, func(answer *Counts) { claimed = answer.GetClaimed() })
 	return claimed
--- a/bvgossip/claim_test.go
+++ b/bvgossip/claim_test.go
@@ -15,7 +15,7 @@
 	b.mutex.Lock()
 	b.grant = true
 	b.mutex.Unlock()
-	claimed := a.Claim(b.address, &Claim{Workspace: 1, Count: 7})
+	claimed := a.SendClaim(b.address, &Claim{Workspace: 1, Count: 7})
 	require.True(t, claimed.GetGranted())
 	require.EqualValues(t, 7, claimed.GetWait())
 }
@@ -29,7 +29,7 @@
 	require.Len(t, all, 2)
 	require.False(t, leftOut)
 	require.NoError(t, b.conn.Close())
-	require.Nil(t, a.Claim(b.address, &Claim{Workspace: 1}))
+	require.Nil(t, a.SendClaim(b.address, &Claim{Workspace: 1}))
 	answering, leftOut := a.Allocators(1)
 	require.Equal(t, []netip.AddrPort{a.address}, answering)
 	require.Equal(t, all[0] == b.address, leftOut)
--- a/bvgossip/gossip.go
+++ b/bvgossip/gossip.go
@@ -9,9 +9,9 @@
 //	gossip := bvgossip.New(self, connection, clock, log)
 //	gossip.SetHosts(hosts) // as the platform's store lists them
 //	go gossip.Receive(handle)
-//	gossip.Send(digest) // every gossip.Interval()
+//	gossip.SendDigest(digest) // every gossip.Interval()
 //	loads := gossip.PeerLoads(digest)
-//	counts := gossip.Counts(endpoints) // of this moment
+//	counts := gossip.QueryRunning(endpoints) // of this moment
 //
 // # Cost
 //
@@ -129,11 +129,11 @@
 	return max(leastInterval, bvclock.Duration(len(gossip.hosts))*perHost)
 }
 
-// Send sends a digest to the hosts of this availability zone, and, when it is
+// SendDigest sends a digest to the hosts of this availability zone, and, when it is
 // time, one with all that happened since the last to those of other zones. Hosts
 // that are silent get one every few seconds, in case that they are back. It is
 // not safe for concurrent use.
-func (gossip *Gossip) Send(digest *Digest) {
+func (gossip *Gossip) SendDigest(digest *Digest) {
 	gossip.setTrackers()
 	near, far := gossip.due()
 	gossip.sendAll(digest, near)
@@ -233,15 +233,15 @@
 
 // Handler takes in what other hosts send.
 type Handler interface {
-	// Hear takes in a digest.
-	Hear(digest *Digest)
-	// Lend gives up tokens of a program's budget for the host at an address. The
+	// HandleDigest takes in a digest.
+	HandleDigest(digest *Digest)
+	// LendTokens gives up tokens of a program's budget for the host at an address. The
 	// answer's number and program are set by the caller.
-	Lend(host string, ask *Ask) *Lend
-	// Grant decides on a request of another host that nears a usage cap.
-	Grant(claim *Claim) *Claimed
-	// Lent takes in tokens that another host gave up.
-	Lent(program string, tokens int, holders []string)
+	LendTokens(host string, ask *Ask) *Lend
+	// DecideClaim decides on a request of another host that nears a usage cap.
+	DecideClaim(claim *Claim) *Claimed
+	// AcceptTokens takes in tokens that another host gave up.
+	AcceptTokens(program string, tokens int, holders []string)
 }
 
 // Receive hands on what other hosts send until the socket is closed.
@@ -268,11 +268,11 @@
 	switch message := datagram.GetMessage().(type) {
 	case *Datagram_Digest:
 		if gossip.note(message.Digest) {
-			handler.Hear(message.Digest)
+			handler.HandleDigest(message.Digest)
 		}
 	case *Datagram_Ask:
 		ask := message.Ask
-		lend := handler.Lend(from.String(), ask)
+		lend := handler.LendTokens(from.String(), ask)
 		lend.Number, lend.Program = ask.GetNumber(), ask.GetProgram()
 		gossip.sendTo(from, &Datagram{Message: &Datagram_Lend{Lend: lend}})
 	case *Datagram_Lend:
--- a/bvgossip/gossip_test.go
+++ b/bvgossip/gossip_test.go
@@ -38,13 +38,13 @@
 func (endpoints fakeEndpoints) ZoneOf(endpoint uint64) string { return endpoints[endpoint] }
 func (endpoints fakeEndpoints) Running(uint64) int            { return 0 }
 
-func (host *host) Hear(digest *Digest) {
+func (host *host) HandleDigest(digest *Digest) {
 	host.mutex.Lock()
 	defer host.mutex.Unlock()
 	host.heard = append(host.heard, digest)
 }
 
-func (host *host) Lend(_ string, ask *Ask) *Lend {
+func (host *host) LendTokens(_ string, ask *Ask) *Lend {
 	host.mutex.Lock()
 	defer host.mutex.Unlock()
 	tokens := int(ask.GetTokens())
@@ -56,13 +56,13 @@
 	return &Lend{Tokens: uint32(lent)}
 }
 
-func (host *host) Lent(_ string, tokens int, _ []string) {
+func (host *host) AcceptTokens(_ string, tokens int, _ []string) {
 	host.mutex.Lock()
 	defer host.mutex.Unlock()
 	host.lent += tokens
 }
 
-func (host *host) Grant(claim *Claim) *Claimed {
+func (host *host) DecideClaim(claim *Claim) *Claimed {
 	host.mutex.Lock()
 	defer host.mutex.Unlock()
 	return &Claimed{Granted: host.grant, Wait: claim.GetCount()}
@@ -113,9 +113,9 @@
 // way afterwards.
 func meet(t testing.TB, a, b *host) {
 	a.SetHosts([]netip.AddrPort{b.address})
-	a.Send(a.digest())
+	a.SendDigest(a.digest())
 	require.Eventually(t, func() bool { return len(b.LivePeers()) == 1 }, testTimeout, time.Millisecond)
-	b.Send(b.digest())
+	b.SendDigest(b.digest())
 	require.Eventually(t, func() bool { return len(a.LivePeers()) == 1 }, testTimeout, time.Millisecond)
 }
 
@@ -134,10 +134,10 @@
 	meet(t, a, b)
 	clock.Advance(silentAfter + 1)
 	require.Empty(t, a.LivePeers())
-	asked, answered := a.Ask(t.Context(), b.address, &Ask{Program: "p", Tokens: 10})
+	asked, answered := a.RequestTokens(t.Context(), b.address, &Ask{Program: "p", Tokens: 10})
 	require.False(t, asked)
 	require.False(t, answered)
-	_, heard := a.Address("b")
+	_, heard := a.AddressOfIncarnation("b")
 	require.False(t, heard)
 }
 
@@ -145,10 +145,10 @@
 	a, b := newHost(t, "a", bvclock.Boot()), newHost(t, "b", bvclock.Boot())
 	meet(t, a, b)
 	b.hold(100)
-	asked, _ := a.Ask(t.Context(), b.address, &Ask{Program: "p", Tokens: 60})
+	asked, _ := a.RequestTokens(t.Context(), b.address, &Ask{Program: "p", Tokens: 60})
 	require.True(t, asked)
 	require.Eventually(t, func() bool { return a.tokens() == 60 }, testTimeout, time.Millisecond)
-	asked, _ = a.Ask(t.Context(), b.address, &Ask{Program: "p", Tokens: 60, Partial: true})
+	asked, _ = a.RequestTokens(t.Context(), b.address, &Ask{Program: "p", Tokens: 60, Partial: true})
 	require.True(t, asked)
 	require.Eventually(t, func() bool { return a.tokens() == 100 }, testTimeout, time.Millisecond)
 }
@@ -187,7 +187,7 @@
 func TestIncarnationThatIsHeardHasAnAddress(t *testing.T) {
 	a, b := newHost(t, "a", bvclock.Boot()), newHost(t, "b", bvclock.Boot())
 	meet(t, a, b)
-	address, heard := a.Address("b")
+	address, heard := a.AddressOfIncarnation("b")
 	require.True(t, heard)
 	require.Equal(t, b.address, address)
 }
@@ -203,18 +203,18 @@
 		clock.Advance(farInterval / 4)
 		digest := a.digest()
 		digest.Placements = []*Placement{{Endpoint: 1, Part: part, Tokens: 10}}
-		a.Send(digest)
+		a.SendDigest(digest)
 	}
 	require.Eventually(t, func() bool { return len(b.digests()) == 2 }, testTimeout, time.Millisecond)
 	require.Len(t, b.digests()[1].GetPlacements(), 4)
 	require.Empty(t, a.placements)
 	clock.Advance(farInterval - 1)
-	a.Send(a.digest())
+	a.SendDigest(a.digest())
 	near, far := a.due()
 	require.Empty(t, near)
 	require.Nil(t, far, "too early")
 	clock.Advance(1)
-	a.Send(a.digest())
+	a.SendDigest(a.digest())
 	require.Eventually(t, func() bool { return len(b.digests()) == 3 }, testTimeout, time.Millisecond)
 }
 
@@ -236,7 +236,7 @@
 		digest.Loads = append(digest.Loads, &Load{Endpoint: endpoint, Running: 1})
 		digest.Placements = append(digest.Placements, &Placement{Endpoint: endpoint, Part: 7, Tokens: 10})
 	}
-	a.Send(digest)
+	a.SendDigest(digest)
 	require.Eventually(t, func() bool { return len(b.digests()) == 2 }, testTimeout, time.Millisecond)
 	last := b.digests()[1]
 	require.Len(t, last.GetLoads(), 1)
@@ -320,7 +320,7 @@
 	b.withholds = true
 	b.mutex.Unlock()
 	require.Eventually(t, func() bool {
-		asked, answered := a.Ask(t.Context(), b.address, &Ask{Program: "p", Tokens: 10})
+		asked, answered := a.RequestTokens(t.Context(), b.address, &Ask{Program: "p", Tokens: 10})
 		return asked && !answered
 	}, testTimeout, time.Millisecond)
 }
--- a/bvgossip/holding.go
+++ b/bvgossip/holding.go
@@ -46,9 +46,9 @@
 	return holding
 }
 
-// Holds tells a program's tracker which endpoint has a conversation, and how many tokens
+// ReportHolding tells a program's tracker which endpoint has a conversation, and how many tokens
 // of it.
-func (gossip *Gossip) Holds(program, conversation, endpoint uint64, tokens int) {
+func (gossip *Gossip) ReportHolding(program, conversation, endpoint uint64, tokens int) {
 	holding := &Holding{Program: program, Conversation: conversation, Endpoint: endpoint, Tokens: uint32(tokens)}
 	gossip.mutex.Lock()
 	tracker, found := gossip.trackers.ofProgram(program)
@@ -61,9 +61,9 @@
 	}
 }
 
-// Holder asks a program's tracker which endpoint has a conversation, and how many tokens
+// QueryHolding asks a program's tracker which endpoint has a conversation, and how many tokens
 // of it. It waits a short time.
-func (gossip *Gossip) Holder(program, conversation uint64) (endpoint uint64, tokens int, found bool) {
+func (gossip *Gossip) QueryHolding(program, conversation uint64) (endpoint uint64, tokens int, found bool) {
 	holding, tracker := gossip.holdingHere(program, conversation)
 	if tracker.IsValid() {
 		probes := map[netip.AddrPort]*Probe{tracker: {Program: program, Conversation: conversation}}
--- a/bvgossip/holding_test.go
+++ b/bvgossip/holding_test.go
@@ -17,13 +17,13 @@
 	for _, tracker := range []*host{a, b} {
 		program := trackedBy(t, tracker, a, (*trackers).ofProgram)
 		b.setTrackers()
-		a.Holds(program, 70, 42, 17_000)
+		a.ReportHolding(program, 70, 42, 17_000)
 		for _, asker := range []*host{a, b} {
 			require.Eventually(t, func() bool {
 				asker.mutex.Lock()
 				clear(asker.mutedUntil)
 				asker.mutex.Unlock()
-				endpoint, tokens, found := asker.Holder(program, 70)
+				endpoint, tokens, found := asker.QueryHolding(program, 70)
 				return found && endpoint == 42 && tokens == 17_000
 			}, testTimeout, time.Millisecond)
 		}
@@ -32,10 +32,10 @@
 
 func TestHolderOfAnUnknownConversationIsNotFound(t *testing.T) {
 	a := newHost(t, "a", bvclock.Boot())
-	_, _, found := a.Holder(7, 70) // before the first digest
+	_, _, found := a.QueryHolding(7, 70) // before the first digest
 	require.False(t, found)
 	a.setTrackers()
-	_, _, found = a.Holder(7, 70)
+	_, _, found = a.QueryHolding(7, 70)
 	require.False(t, found)
 }
 
--- a/bvgossip/peer.go
+++ b/bvgossip/peer.go
@@ -43,8 +43,8 @@
 	return gossip.clock.Now().Sub(since)
 }
 
-// Lost reports whether a host was heard and no longer is.
-func (gossip *Gossip) Lost(address netip.AddrPort) bool {
+// IsUnreachable reports whether a host was heard and no longer is.
+func (gossip *Gossip) IsUnreachable(address netip.AddrPort) bool {
 	now := gossip.clock.Now()
 	gossip.mutex.Lock()
 	defer gossip.mutex.Unlock()
@@ -74,9 +74,9 @@
 	return now.Sub(peer.lastSeen) > max(silentAfter, silentPauses*pause)
 }
 
-// Size returns how many other hosts are listed or heard, how many of them are heard,
+// PeerStats returns how many other hosts are listed or heard, how many of them are heard,
 // and within which time their digests come.
-func (gossip *Gossip) Size() (known, heard int, lag bvclock.Duration) {
+func (gossip *Gossip) PeerStats() (known, heard int, lag bvclock.Duration) {
 	now := gossip.clock.Now()
 	gossip.mutex.Lock()
 	defer gossip.mutex.Unlock()
@@ -88,9 +88,9 @@
 	return len(gossip.hosts), heard, gossip.farPause()
 }
 
-// Nearest returns those of some hosts that are heard, the ones in this host's
+// NearestReachable returns those of some hosts that are heard, the ones in this host's
 // availability zone first.
-func (gossip *Gossip) Nearest(hosts []string) []string {
+func (gossip *Gossip) NearestReachable(hosts []string) []string {
 	now := gossip.clock.Now()
 	gossip.mutex.Lock()
 	defer gossip.mutex.Unlock()
--- a/bvgossip/probe.go
+++ b/bvgossip/probe.go
@@ -33,8 +33,8 @@
 	counts *Counts
 }
 
-// Used tells an endpoint's tracker how many calls this host has there now.
-func (gossip *Gossip) Used(endpoint uint64, running int) {
+// ReportRunning tells an endpoint's tracker how many calls this host has there now.
+func (gossip *Gossip) ReportRunning(endpoint uint64, running int) {
 	zone := gossip.endpoints.ZoneOf(endpoint)
 	gossip.mutex.Lock()
 	tracker, found := gossip.trackers.ofEndpoint(zone, endpoint)
@@ -44,9 +44,9 @@
 	}
 }
 
-// Counts asks the trackers of endpoints how many calls the other hosts have there. It
+// QueryRunning asks the trackers of endpoints how many calls the other hosts have there. It
 // waits a short time; endpoints whose trackers did not answer are missing.
-func (gossip *Gossip) Counts(endpoints []uint64) map[uint64]int {
+func (gossip *Gossip) QueryRunning(endpoints []uint64) map[uint64]int {
 	counts := make(map[uint64]int, len(endpoints))
 	gossip.ask(gossip.probesFor(endpoints, counts), probeTimeout, func(answer *Counts) {
 		for _, load := range answer.GetLoads() {
@@ -140,9 +140,9 @@
 	}
 }
 
-// Asked returns how many trackers were asked since the start, and how many of them did
+// TrackerQueries returns how many trackers were asked since the start, and how many of them did
 // not answer in time.
-func (gossip *Gossip) Asked() (asked, unanswered int64) {
+func (gossip *Gossip) TrackerQueries() (asked, unanswered int64) {
 	gossip.mutex.Lock()
 	defer gossip.mutex.Unlock()
 	return gossip.asked, gossip.unanswered
@@ -152,7 +152,7 @@
 func (gossip *Gossip) answerProbe(from netip.AddrPort, asked *Probe, handler Handler) {
 	counts := &Counts{Number: asked.GetNumber()}
 	if claim := asked.GetClaim(); claim != nil {
-		counts.Claimed = handler.Grant(claim)
+		counts.Claimed = handler.DecideClaim(claim)
 	}
 	gossip.mutex.Lock()
 	since := gossip.toldSince(gossip.clock.Now())
--- a/bvgossip/probe_test.go
+++ b/bvgossip/probe_test.go
@@ -46,20 +46,20 @@
 	c := newHostWith(t, "c", bvclock.Boot(), busy(4))
 	meet(t, a, c)
 	b.SetHosts([]netip.AddrPort{c.address})
-	b.Send(b.digest())
+	b.SendDigest(b.digest())
 	require.Eventually(t, func() bool { return len(c.LivePeers()) == 2 }, testTimeout, time.Millisecond)
 	endpoint := endpointTrackedBy(t, c, a)
 	b.mutex.Lock()
 	b.trackers = a.trackers // c has not answered b yet
 	b.mutex.Unlock()
-	a.Used(endpoint, 2)
-	b.Used(endpoint, 3)
+	a.ReportRunning(endpoint, 2)
+	b.ReportRunning(endpoint, 3)
 	requireCount(t, a, endpoint, 7)
-	b.Used(endpoint, 1)
+	b.ReportRunning(endpoint, 1)
 	requireCount(t, a, endpoint, 5)
-	b.Used(endpoint, 0)
+	b.ReportRunning(endpoint, 0)
 	requireCount(t, a, endpoint, 4)
-	asked, unanswered := a.Asked()
+	asked, unanswered := a.TrackerQueries()
 	require.GreaterOrEqual(t, asked-unanswered, int64(3))
 }
 
@@ -70,7 +70,7 @@
 		asker.mutex.Lock()
 		clear(asker.mutedUntil)
 		asker.mutex.Unlock()
-		return asker.Counts([]uint64{endpoint})[endpoint] == want
+		return asker.QueryRunning([]uint64{endpoint})[endpoint] == want
 	}, testTimeout, time.Millisecond)
 }
 
--- a/bvhost/rendezvous_test.go
+++ b/bvhost/rendezvous_test.go
@@ -55,7 +55,7 @@
 	view := &View{}
 	view.Update(0, listed(5))
 	before := view.Candidates(0, "key")
-	view.Distrust(0, before[0].Name)
+	view.MarkUnreachable(0, before[0].Name)
 	after := view.Candidates(0, "key")
 	require.Equal(t, append(before[1:], before[0]), after)
 }
--- a/bvhost/view.go
+++ b/bvhost/view.go
@@ -64,10 +64,10 @@
 	}
 }
 
-// Distrust notes that a host could not be reached. The list shows a dead host
+// MarkUnreachable notes that a host could not be reached. The list shows a dead host
 // for seconds; without this, each call in that time would try it first. It
 // reports whether the host was trusted until now.
-func (view *View) Distrust(now bvclock.Time, name string) bool {
+func (view *View) MarkUnreachable(now bvclock.Time, name string) bool {
 	view.mutex.Lock()
 	defer view.mutex.Unlock()
 	if view.distrusted == nil {
@@ -78,8 +78,8 @@
 	return !found || now.After(until)
 }
 
-// Trust notes that a host answered.
-func (view *View) Trust(name string) {
+// MarkReachable notes that a host answered.
+func (view *View) MarkReachable(name string) {
 	view.mutex.Lock()
 	defer view.mutex.Unlock()
 	delete(view.distrusted, name)
--- a/bvpermit/client.go
+++ b/bvpermit/client.go
@@ -131,7 +131,7 @@
 }
 
 func (client *Client) distrust(host string) {
-	if client.view.Distrust(client.clock.Now(), host) {
+	if client.view.MarkUnreachable(client.clock.Now(), host) {
 		client.log.WithField("host", host).Warn("deciding host can't be reached")
 	}
 }
--- a/bvpermit/line.go
+++ b/bvpermit/line.go
@@ -57,7 +57,7 @@
 		line.cancel()
 		return nil, false, nil
 	}
-	client.view.Trust(host.Name)
+	client.view.MarkReachable(host.Name)
 	permit, err = client.permitOf(ask, decision, line)
 	if err != nil {
 		line.cancel()
--- a/bvrouter/follow.go
+++ b/bvrouter/follow.go
@@ -121,7 +121,7 @@
 func (router *Router) tidyBudgets(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause(ctx, tidyBudgetsInterval)
-		router.budgets.Tidy(ctx)
+		router.budgets.ReleaseIdle(ctx)
 	}
 }
 
--- a/bvrouter/gossip.go
+++ b/bvrouter/gossip.go
@@ -37,7 +37,7 @@
 	for ctx.Err() == nil {
 		pause(ctx, router.gossip.Interval())
 		digest := router.digest()
-		router.gossip.Send(digest)
+		router.gossip.SendDigest(digest)
 		router.dispatcher.SetPeerLoads(router.peerLoads(digest))
 	}
 }
@@ -55,7 +55,7 @@
 		digest.StateVersion = table.Version()
 	}
 	router.tellUses(digest)
-	digest.Programs = router.budgets.Begun()
+	digest.Programs = router.budgets.TakeReservedPrograms()
 	running, placed := router.dispatcher.Report()
 	for endpoint, count := range running {
 		digest.Loads = append(digest.Loads, &bvgossip.Load{Endpoint: endpoint, Running: uint32(count)})
@@ -89,49 +89,49 @@
 // peerHandler takes in what other hosts send.
 type peerHandler struct{ *Router }
 
-// Lend implements bvgossip.Handler.
-func (handler peerHandler) Lend(host string, ask *bvgossip.Ask) *bvgossip.Lend {
-	given := handler.budgets.Lend(host, bvbudget.Want{
-		Program: ask.GetProgram(),
-		Tokens:  int(ask.GetTokens()),
-		Partial: ask.GetPartial(),
-		Budget:  int(ask.GetBudget()),
-		Most:    int(ask.GetMost()),
-		Retain:  bvclock.Duration(ask.GetRetain()),
-		Grantor: ask.GetGrantor(),
+// LendTokens implements bvgossip.Handler.
+func (handler peerHandler) LendTokens(host string, ask *bvgossip.Ask) *bvgossip.Lend {
+	given := handler.budgets.LendTokens(host, bvbudget.TokenRequest{
+		Program:   ask.GetProgram(),
+		Tokens:    int(ask.GetTokens()),
+		Partial:   ask.GetPartial(),
+		Budget:    int(ask.GetBudget()),
+		MaxTokens: int(ask.GetMost()),
+		Retain:    bvclock.Duration(ask.GetRetain()),
+		AsGrantor: ask.GetGrantor(),
 	})
-	return &bvgossip.Lend{Tokens: uint32(given.Tokens), Holders: given.Holders, Withheld: given.Withheld}
+	return &bvgossip.Lend{Tokens: uint32(given.Tokens), Holders: given.Holders, Withheld: given.Undecided}
 }
 
-// Lent implements bvgossip.Handler.
-func (handler peerHandler) Lent(program string, tokens int, holders []string) {
-	handler.budgets.Lent(program, tokens, holders)
+// AcceptTokens implements bvgossip.Handler.
+func (handler peerHandler) AcceptTokens(program string, tokens int, holders []string) {
+	handler.budgets.AcceptTokens(program, tokens, holders)
 }
 
 // lenders asks other hosts for tokens of a program's budget.
 type lenders struct{ *Router }
 
-// Ask implements bvbudget.Lenders.
-func (lenders lenders) Ask(ctx context.Context, host string, want bvbudget.Want) (asked, answered bool) {
+// RequestTokens implements bvbudget.Lenders.
+func (lenders lenders) RequestTokens(ctx context.Context, host string, want bvbudget.TokenRequest) (asked, answered bool) {
 	address, err := netip.ParseAddrPort(host)
 	if err != nil {
 		lenders.log.WithError(err).Warn("another host's address can't be read")
 		return false, false
 	}
-	return lenders.gossip.Ask(ctx, address, &bvgossip.Ask{
+	return lenders.gossip.RequestTokens(ctx, address, &bvgossip.Ask{
 		Program: want.Program,
 		Tokens:  uint32(want.Tokens),
 		Partial: want.Partial,
 		Budget:  uint32(want.Budget),
-		Most:    uint32(want.Most),
+		Most:    uint32(want.MaxTokens),
 		Retain:  int64(want.Retain),
-		Grantor: want.Grantor,
+		Grantor: want.AsGrantor,
 	})
 }
 
-// Address implements bvbudget.Lenders.
-func (lenders lenders) Address(incarnation string) (string, bool) {
-	address, heard := lenders.gossip.Address(incarnation)
+// AddressOfIncarnation implements bvbudget.Lenders.
+func (lenders lenders) AddressOfIncarnation(incarnation string) (string, bool) {
+	address, heard := lenders.gossip.AddressOfIncarnation(incarnation)
 	return address.String(), heard
 }
 
@@ -142,7 +142,7 @@
 // Holder implements bvbudget.Grantors.
 func (grantors grantors) Holder(program string) (bvlease.Host, bool) {
 	holder, found := grantors.leases.Holder(program)
-	if address, heard := grantors.gossip.AddressOf(holder.Name); found && heard {
+	if address, heard := grantors.gossip.AddressOfHost(holder.Name); found && heard {
 		holder.Address = address.String()
 	}
 	return holder, found
@@ -153,8 +153,8 @@
 	return grantors.leases.MayGrant(now, program, retain)
 }
 
-// Hear implements bvgossip.Handler.
-func (handler peerHandler) Hear(digest *bvgossip.Digest) {
+// HandleDigest implements bvgossip.Handler.
+func (handler peerHandler) HandleDigest(digest *bvgossip.Digest) {
 	if !handler.settings.Without.Has(bvmechanism.Digests) {
 		handler.hearCalls(digest)
 	}
@@ -162,7 +162,7 @@
 	for _, crash := range digest.GetCrashes() {
 		handler.dispatcher.LearnCrash(bvdispatch.Crash{Request: crash.GetRequest(), Endpoint: crash.GetEndpoint()})
 	}
-	handler.budgets.Holds(digest.GetAddress(), digest.GetPrograms())
+	handler.budgets.AddHolder(digest.GetAddress(), digest.GetPrograms())
 }
 
 // hearCalls takes in where another host's prompts are, and how its calls ended.
--- a/bvrouter/handover.go
+++ b/bvrouter/handover.go
@@ -29,9 +29,9 @@
 // else grants for its programs while the host is away, so that all is still true
 // when the next process takes it up.
 type handover struct {
-	Stopped time.Time          `json:"stopped"`
-	Known   bvlease.KnownHosts `json:"known"` // hosts
-	Granted []bvbudget.Granted `json:"granted"`
+	Stopped time.Time             `json:"stopped"`
+	Known   bvlease.KnownHosts    `json:"known"` // hosts
+	Granted []bvbudget.GrantState `json:"granted"`
 }
 
 // retire stops granting, and takes this host off the list. With the same
@@ -64,7 +64,7 @@
 
 // leftBehind is the row of a handover, if it fits into one.
 func (router *Router) leftBehind(known bvlease.KnownHosts) []bvplatform.Put {
-	encoded, err := json.Marshal(handover{Stopped: time.Now(), Known: known, Granted: router.budgets.Granted()})
+	encoded, err := json.Marshal(handover{Stopped: time.Now(), Known: known, Granted: router.budgets.ExportGrants()})
 	if err != nil || len(encoded) > int(handoverShare*float64(router.settings.RowBytes)) {
 		router.log.WithError(err).WithField("bytes", len(encoded)).Warn("grants are too many to be handed over")
 		return nil
@@ -111,7 +111,7 @@
 	router.listedAsGrantor = grantor
 	inherited := router.inheritance != nil && grantor
 	if inherited {
-		router.budgets.Inherit(router.inheritance.Granted)
+		router.budgets.ImportGrants(router.inheritance.Granted)
 		router.leases.Inherit(router.clock.Now(), router.inheritance.Known)
 	}
 	router.inheritance = nil
--- a/bvrouter/host_share.go
+++ b/bvrouter/host_share.go
@@ -47,7 +47,7 @@
 
 // sources returns the hosts that may be asked in place of the store.
 func (router *Router) sources() sources {
-	known := sources{self: router.settings.PeerAddress, zone: router.settings.Zone, lost: router.gossip.Lost}
+	known := sources{self: router.settings.PeerAddress, zone: router.settings.Zone, lost: router.gossip.IsUnreachable}
 	if shared := router.hosts.Load(); shared != nil && !router.settings.Without.Has(bvmechanism.Readers) {
 		known.hosts = shared.hosts
 	}
--- a/bvrouter/leave.go
+++ b/bvrouter/leave.go
@@ -41,7 +41,7 @@
 	if err := router.server.Shutdown(ctx); err != nil {
 		return fmt.Errorf("router: requests were cut off after %v: %w", limit, err)
 	}
-	within(ctx, giveUpTime, router.budgets.GiveUp)
+	within(ctx, giveUpTime, router.budgets.ReleaseUnspent)
 	within(ctx, retireTime, router.retire)
 	return nil
 }
--- a/bvrouter/metrics.go
+++ b/bvrouter/metrics.go
@@ -27,10 +27,10 @@
 	router.counters.Set("endpoints", int64(router.EndpointCount()))
 	router.counters.Set("call_bytes_held", router.HeldBytes())
 	router.counters.Set("connections_opened", router.connections.Opened())
-	router.counters.Set("budget_writes", router.budgets.Writes())
+	router.counters.Set("budget_writes", router.budgets.WriteCount())
 	router.counters.Set("budget_accounts", int64(router.budgets.Len()))
-	router.counters.Set("grants", int64(router.budgets.Grants()))
-	asked, unanswered := router.gossip.Asked()
+	router.counters.Set("grants", int64(router.budgets.GrantCount()))
+	asked, unanswered := router.gossip.TrackerQueries()
 	router.counters.Set("trackers_asked", asked)
 	router.counters.Set("trackers_unanswered", unanswered)
 	for service, rate := range router.dispatcher.ReadingRates() {
--- a/bvrouter/quota.go
+++ b/bvrouter/quota.go
@@ -38,7 +38,7 @@
 			continue
 		}
 		quotas.counters.Add("quota_claims", 1)
-		claimed := quotas.gossip.Claim(allocator, &bvgossip.Claim{
+		claimed := quotas.gossip.SendClaim(allocator, &bvgossip.Claim{
 			Host: xxhash.Sum64String(quotas.incarnation), Workspace: use.Workspace, Count: use.Count, Recent: use.Recent,
 			Fresh: request.Fresh, Standby: request.Standby,
 		})
@@ -56,8 +56,8 @@
 	return bvquota.Decision{Outcome: bvquota.Ask, Wait: unansweredWait}
 }
 
-// Grant implements bvgossip.Handler.
-func (handler peerHandler) Grant(claim *bvgossip.Claim) *bvgossip.Claimed {
+// DecideClaim implements bvgossip.Handler.
+func (handler peerHandler) DecideClaim(claim *bvgossip.Claim) *bvgossip.Claimed {
 	decision := handler.limiter.Claim(claim.GetHost(), bvquota.Use{
 		Workspace: claim.GetWorkspace(), Count: claim.GetCount(), Recent: claim.GetRecent(),
 	}, bvquota.Request{Fresh: claim.GetFresh(), Standby: claim.GetStandby()})
@@ -80,7 +80,7 @@
 // tellUses adds to a digest what this host has run of workspaces with a cap.
 func (router *Router) tellUses(digest *bvgossip.Digest) {
 	if router.hostsKnown.Load() {
-		others, heard, lag := router.gossip.Size()
+		others, heard, lag := router.gossip.PeerStats()
 		router.limiter.SetHosts(others+1, heard+1, lag)
 	}
 	if router.clock.Now().Sub(router.started) > router.settings.QuotaWindow {
--- a/bvrouter/relay.go
+++ b/bvrouter/relay.go
@@ -59,7 +59,7 @@
 	if peers.settings.Without.Has(bvmechanism.Conversations) {
 		return nil
 	}
-	hosts := peers.gossip.Nearest(peers.budgets.Holders(program))
+	hosts := peers.gossip.NearestReachable(peers.budgets.Holders(program))
 	if peers.store.Serving() { // else there is nobody else to ask
 		hosts = hosts[:min(len(hosts), maxConversationHosts)]
 	}
--- a/bvrouter/router.go
+++ b/bvrouter/router.go
@@ -161,7 +161,7 @@
 	}
 	router.store = newStoreClient(parts.Platform, clock, log, router.helpers, router.countStoreCall)
 	router.budgets = bvbudget.NewAllocator(router.store, lenders{router}, incarnation, clock, log)
-	router.budgets.SetSettle(settings.Settle)
+	router.budgets.SetSettleTime(settings.Settle)
 	router.leases = bvlease.New(bvlease.Host{
 		Name: settings.Name, Incarnation: incarnation, Address: router.settings.PeerAddress,
 	}, settings.FirstStart, router.started)
