--- a/bvdispatch/admission.go
+++ b/bvdispatch/admission.go
@@ -24,15 +24,15 @@
 	mostReturn  = 900 * bvclock.Millisecond
 )
 
-// Newcomer is a program that may begin.
-type Newcomer struct {
+// NewProgram is a program that may begin.
+type NewProgram struct {
 	Priority  int
 	Workspace string // "": of none
 }
 
 // Admit reports whether a new program may begin. If not, it returns the time after
 // which to come back.
-func (pool *Pool) Admit(now bvclock.Time, newcomer Newcomer) (bvclock.Duration, bool) {
+func (pool *Pool) Admit(now bvclock.Time, newcomer NewProgram) (bvclock.Duration, bool) {
 	if pool.without.Has(bvmechanism.Admission) || pool.share(now) < pool.limit(now, newcomer) {
 		if newcomer.Workspace != "" {
 			pool.begun.add(now, newcomer.Workspace)
@@ -43,7 +43,7 @@
 }
 
 // limit is the share of places from which on a newcomer is turned away.
-func (pool *Pool) limit(now bvclock.Time, newcomer Newcomer) float64 {
+func (pool *Pool) limit(now bvclock.Time, newcomer NewProgram) float64 {
 	limit := fullShare
 	if newcomer.Priority == 0 {
 		limit += urgentShare
--- a/bvdispatch/admission_test.go
+++ b/bvdispatch/admission_test.go
@@ -35,7 +35,7 @@
 	arrived := 0
 	for now := 0; now < length; now++ {
 		for ; arrived*1000 < now*perSecond; arrived++ {
-			if _, ok := pool.Admit(bvclock.Time(now), Newcomer{Priority: 1}); admit && !ok {
+			if _, ok := pool.Admit(bvclock.Time(now), NewProgram{Priority: 1}); admit && !ok {
 				away++
 				continue
 			}
@@ -47,7 +47,7 @@
 		for _, running := range programs {
 			if running.endpoint == "" && running.wakes <= now {
 				chosen, _ := pool.Choose(bvclock.Time(now), &Request{})
-				pool.Begin(0, chosen.Name, &Request{})
+				pool.BeginCall(0, chosen.Name, &Request{})
 				running.endpoint, running.left = chosen.Name, idleTurn
 			}
 			if running.endpoint != "" && taken[running.endpoint] < slots {
@@ -56,7 +56,7 @@
 				running.left -= 1 / (1 + crowded*beside)
 			}
 			if running.endpoint != "" && running.left <= 0 {
-				pool.End(bvclock.Time(now), running.endpoint, Result{Outcome: Served, Took: 300})
+				pool.EndCall(bvclock.Time(now), running.endpoint, Result{Outcome: Served, Duration: 300})
 				running.endpoint, running.wakes = "", now+pauseTurn
 				running.turns++
 			}
@@ -94,11 +94,11 @@
 func TestMostUrgentRouteFindsRoomThatOthersLeave(t *testing.T) {
 	pool := newTestPool(1)
 	for range 20 {
-		pool.Begin(0, "e0", &Request{})
+		pool.BeginCall(0, "e0", &Request{})
 	}
-	_, admitted := pool.Admit(0, Newcomer{Priority: 1})
+	_, admitted := pool.Admit(0, NewProgram{Priority: 1})
 	require.False(t, admitted)
-	_, admitted = pool.Admit(0, Newcomer{Priority: 0})
+	_, admitted = pool.Admit(0, NewProgram{Priority: 0})
 	require.True(t, admitted)
 }
 
@@ -106,11 +106,11 @@
 func TestRefusedCallersComeBackSpreadOut(t *testing.T) {
 	pool := newTestPool(1)
 	for range 26 {
-		pool.Begin(0, "e0", &Request{})
+		pool.BeginCall(0, "e0", &Request{})
 	}
 	seen := make(map[bvclock.Duration]bool)
 	for range 100 {
-		comeBack, admitted := pool.Admit(0, Newcomer{Priority: 0})
+		comeBack, admitted := pool.Admit(0, NewProgram{Priority: 0})
 		require.False(t, admitted)
 		require.GreaterOrEqual(t, comeBack, leastReturn)
 		require.Less(t, comeBack, mostReturn)
@@ -120,6 +120,6 @@
 }
 
 func TestPoolWithoutEndpointsIsNotACrowd(t *testing.T) {
-	_, admitted := NewPool(1, "").Admit(0, Newcomer{Priority: 1})
+	_, admitted := NewPool(1, "").Admit(0, NewProgram{Priority: 1})
 	require.True(t, admitted)
 }
--- a/bvdispatch/affinity_test.go
+++ b/bvdispatch/affinity_test.go
@@ -22,13 +22,13 @@
 		request := prompt(1+i%beginnings, 1000+i)
 		request.Prefix[0].Tokens, request.PromptTokens = 12_600, 17_600
 		chosen, _ := pool.Choose(0, request)
-		pool.Begin(0, chosen.Name, request)
+		pool.BeginCall(0, chosen.Name, request)
 		if places[i%beginnings] == nil {
 			places[i%beginnings] = make(map[string]bool)
 		}
 		places[i%beginnings][chosen.Name] = true
 		if under = append(under, chosen.Name); len(under) > 270 {
-			pool.End(0, under[0], Result{Outcome: Served, Took: 350})
+			pool.EndCall(0, under[0], Result{Outcome: Served, Duration: 350})
 			under = under[1:]
 		}
 	}
--- a/bvdispatch/bench_test.go
+++ b/bvdispatch/bench_test.go
@@ -21,8 +21,8 @@
 			for i := 0; b.Loop(); i++ {
 				request := prompt(uint64(i%16), uint64(1000+i%500))
 				chosen, _ := pool.Choose(0, request)
-				pool.Begin(0, chosen.Name, request)
-				pool.End(0, chosen.Name, Result{Outcome: Served, Took: 300})
+				pool.BeginCall(0, chosen.Name, request)
+				pool.EndCall(0, chosen.Name, Result{Outcome: Served, Duration: 300})
 			}
 		})
 	}
--- a/bvdispatch/cache.go
+++ b/bvdispatch/cache.go
@@ -72,9 +72,9 @@
 // milliseconds later, through any host, and digests take longer: without this, turns
 // go to engines that have nothing of the conversation and read it all again.
 func (pool *Pool) noteHeld(request *Request) {
-	row := pool.byHash[request.Held.Endpoint]
+	row := pool.byHash[request.HeldPrefix.Endpoint]
 	if row != nil && !pool.without.Has(bvmechanism.Held) {
-		row.cache.use(head(request.Prefix, request.Held.Tokens), row.entry.CacheTokens)
+		row.cache.use(head(request.Prefix, request.HeldPrefix.Tokens), row.entry.CacheTokens)
 	}
 }
 
--- a/bvdispatch/candidate.go
+++ b/bvdispatch/candidate.go
@@ -41,8 +41,8 @@
 	}
 	pool.drawing++
 	pool.drawn = pool.drawn[:0]
-	pool.draw(pool.byHash[request.Held.Endpoint])
-	for endpoint := range request.Among {
+	pool.draw(pool.byHash[request.HeldPrefix.Endpoint])
+	for endpoint := range request.PeerCalls {
 		pool.draw(pool.byHash[endpoint])
 	}
 	if request.Object != 0 {
--- a/bvdispatch/candidate_test.go
+++ b/bvdispatch/candidate_test.go
@@ -28,7 +28,7 @@
 		request := prompt(1, 2)
 		chosen, found := pool.Choose(0, request)
 		require.True(t, found)
-		pool.Begin(0, chosen.ID(), request)
+		pool.BeginCall(0, chosen.ID(), request)
 		require.LessOrEqual(t, len(pool.candidates(request)), drawnNear+drawnAll+orderRows+recentRows)
 	}
 }
@@ -42,7 +42,7 @@
 		engine := listed[i*151]
 		request := prompt(uint64(i), uint64(1000+i))
 		request.PromptTokens = 14_000
-		request.Held = Held{Endpoint: HashID(engine.ID()), Tokens: 14_000}
+		request.HeldPrefix = HeldPrefix{Endpoint: HashID(engine.ID()), Tokens: 14_000}
 		chosen, found := pool.Choose(0, request)
 		require.True(t, found)
 		require.Equal(t, engine.Name, chosen.Name)
@@ -72,7 +72,7 @@
 		request.PromptTokens = 14_000
 		chosen, found := pools[host].Choose(now, request)
 		require.True(t, found)
-		pools[host].Begin(now, chosen.ID(), request)
+		pools[host].BeginCall(now, chosen.ID(), request)
 		running[chosen.Name]++
 		most = max(most, running[chosen.Name])
 		under = append(under, call{host, chosen.ID()})
@@ -80,7 +80,7 @@
 			ended := under[0]
 			under = under[1:]
 			running[ended.name]--
-			pools[ended.host].End(now, ended.name, Result{Outcome: Served, Took: 500})
+			pools[ended.host].EndCall(now, ended.name, Result{Outcome: Served, Duration: 500})
 		}
 	}
 	require.LessOrEqual(t, most, 6, "no engine has more calls than places")
@@ -99,8 +99,8 @@
 		if last, found := lastCall[chosen.ID()]; !found || now.Sub(last) > connectionKept {
 			opened++
 		}
-		pool.Begin(now, chosen.ID(), request)
-		pool.End(now, chosen.ID(), Result{Outcome: Served, Took: 50})
+		pool.BeginCall(now, chosen.ID(), request)
+		pool.EndCall(now, chosen.ID(), Result{Outcome: Served, Duration: 50})
 		lastCall[chosen.ID()] = now
 	}
 	require.LessOrEqual(t, opened, 10)
@@ -114,8 +114,8 @@
 	for range 100 {
 		chosen, found := pool.Choose(0, request)
 		require.True(t, found)
-		pool.Begin(0, chosen.ID(), request)
-		pool.Remove(chosen.Name)
+		pool.BeginCall(0, chosen.ID(), request)
+		pool.RemoveEndpoint(chosen.Name)
 		require.NotContains(t, pool.recent, pool.byName[chosen.Name])
 		for _, row := range pool.candidates(request) {
 			require.NotEqual(t, chosen.Name, row.entry.Name)
--- a/bvdispatch/change_test.go
+++ b/bvdispatch/change_test.go
@@ -63,8 +63,8 @@
 		row.running = 2
 	}
 	changed := pool.rows[1].entry
-	pool.Remove(changed.Name)
-	pool.Put(changed)
+	pool.RemoveEndpoint(changed.Name)
+	pool.PutEndpoint(changed)
 	require.Equal(t, []int{2, 0, 2}, []int{pool.rows[0].running, pool.rows[1].running, pool.rows[2].running})
 }
 
--- a/bvdispatch/choose.go
+++ b/bvdispatch/choose.go
@@ -38,7 +38,7 @@
 	if best == nil {
 		return pool.lastResort(request)
 	}
-	request.Cached, request.Load = best.cache.cached(request.Prefix), best.load(now)
+	request.CachedTokens, request.Load = best.cache.cached(request.Prefix), best.load(now)
 	return best.entry, true
 }
 
@@ -53,7 +53,7 @@
 func (pool *Pool) cheapest(snapshot snapshot, request *Request, rows []*endpoint, sample sample) *endpoint {
 	best, lowest := (*endpoint)(nil), 0.0
 	for _, row := range rows {
-		if !row.open(snapshot.now) || request.Avoid[row.entry.Name] || !sample.has(row) {
+		if !row.open(snapshot.now) || request.Excluded[row.entry.Name] || !sample.has(row) {
 			continue
 		}
 		cost := pool.cost(snapshot, row, request)
@@ -72,7 +72,7 @@
 func (pool *Pool) lastResort(request *Request) (bvplatform.Endpoint, bool) {
 	var best *endpoint
 	for _, row := range pool.rows {
-		if row.entry.State != bvplatform.HostLive || request.Avoid[row.entry.Name] {
+		if row.entry.State != bvplatform.HostLive || request.Excluded[row.entry.Name] {
 			continue
 		}
 		if best == nil || row.health.awayUntil.Before(best.health.awayUntil) {
--- a/bvdispatch/dispatcher.go
+++ b/bvdispatch/dispatcher.go
@@ -60,9 +60,9 @@
 	return &Dispatcher{clock: clock, seed: seed, zone: zone, pools: make(map[string]*Pool)}
 }
 
-// Without switches mechanisms off, for experiments. It is called before the first
+// Disable switches mechanisms off, for experiments. It is called before the first
 // call.
-func (dispatcher *Dispatcher) Without(mechanisms bvmechanism.Set) { dispatcher.without = mechanisms }
+func (dispatcher *Dispatcher) Disable(mechanisms bvmechanism.Set) { dispatcher.without = mechanisms }
 
 // SetEndpoints takes over the list of all endpoints. Services that have no
 // endpoint any more keep an empty pool.
@@ -78,7 +78,7 @@
 	}
 	for service, pool := range dispatcher.pools {
 		for _, replaced := range pool.SetEndpoints(byService[service]) {
-			dispatcher.suspects.Gone(dispatcher.clock.Now(), replaced) // whatever ran there may have crashed it
+			dispatcher.suspects.RecordEndpointLoss(dispatcher.clock.Now(), replaced) // whatever ran there may have crashed it
 		}
 	}
 }
@@ -91,18 +91,18 @@
 	defer dispatcher.mutex.Unlock()
 	for _, name := range gone {
 		for _, pool := range dispatcher.pools {
-			pool.Remove(name)
+			pool.RemoveEndpoint(name)
 		}
 	}
 	for _, entry := range listed {
 		serving := dispatcher.pool(entry.Serves)
 		for _, pool := range dispatcher.pools {
 			if pool != serving {
-				pool.Remove(entry.Name)
+				pool.RemoveEndpoint(entry.Name)
 			}
 		}
-		for _, replaced := range serving.Put(entry) {
-			dispatcher.suspects.Gone(now, replaced)
+		for _, replaced := range serving.PutEndpoint(entry) {
+			dispatcher.suspects.RecordEndpointLoss(now, replaced)
 		}
 	}
 }
@@ -111,7 +111,7 @@
 	found := dispatcher.pools[service]
 	if found == nil {
 		found = NewPool(dispatcher.seed, dispatcher.zone)
-		found.Without(dispatcher.without)
+		found.Disable(dispatcher.without)
 		dispatcher.pools[service] = found
 	}
 	return found
@@ -119,7 +119,7 @@
 
 // Admit reports whether a new program may begin at a service. If not, it returns
 // the time after which to come back.
-func (dispatcher *Dispatcher) Admit(service string, newcomer Newcomer) (bvclock.Duration, bool) {
+func (dispatcher *Dispatcher) Admit(service string, newcomer NewProgram) (bvclock.Duration, bool) {
 	now := dispatcher.clock.Now()
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
@@ -152,21 +152,21 @@
 	return chosen, found
 }
 
-// UnderWay reports whether a turn's program had turns before this one, through whatever
+// HasEarlierTurns reports whether a turn's program had turns before this one, through whatever
 // host, as far as its tracker knows.
-func (dispatcher *Dispatcher) UnderWay(request *Request) bool {
+func (dispatcher *Dispatcher) HasEarlierTurns(request *Request) bool {
 	dispatcher.findHolder(request)
-	return request.Held != (Held{})
+	return request.HeldPrefix != (HeldPrefix{})
 }
 
 // findHolder asks which endpoint has the conversation, once, unless that is known.
 func (dispatcher *Dispatcher) findHolder(request *Request) {
-	if !dispatcher.tracks(request) || request.sought || request.Held != (Held{}) {
+	if !dispatcher.tracks(request) || request.sought || request.HeldPrefix != (HeldPrefix{}) {
 		return
 	}
 	request.sought = true
 	if endpoint, tokens, found := dispatcher.trackers.QueryHolding(request.Program, request.Conversation); found {
-		request.Held = Held{Endpoint: endpoint, Tokens: tokens}
+		request.HeldPrefix = HeldPrefix{Endpoint: endpoint, Tokens: tokens}
 	}
 }
 
@@ -193,7 +193,7 @@
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
 	pool := dispatcher.pool(service)
-	if !pool.Asks(now) {
+	if !pool.NeedsPeerCalls(now) {
 		return nil
 	}
 	return pool.Shortlist(now, request)
@@ -206,12 +206,12 @@
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
 	pool := dispatcher.pool(service)
-	request.Among = counts
+	request.PeerCalls = counts
 	chosen, found := pool.Choose(now, request)
 	if !found {
 		return chosen, 0, false
 	}
-	dispatcher.note(chosen.ID(), pool.Begin(now, chosen.ID(), request))
+	dispatcher.note(chosen.ID(), pool.BeginCall(now, chosen.ID(), request))
 	return chosen, pool.RunningAt(HashID(chosen.ID())), true
 }
 
@@ -231,14 +231,14 @@
 	}
 }
 
-// Report returns this host's calls under way, by the hash of the endpoint's
+// TakeLoadReport returns this host's calls under way, by the hash of the endpoint's
 // name, and what was placed since the last report.
-func (dispatcher *Dispatcher) Report() (map[uint64]int, []Placement) {
+func (dispatcher *Dispatcher) TakeLoadReport() (map[uint64]int, []Placement) {
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
 	running := make(map[uint64]int)
 	for _, pool := range dispatcher.pools {
-		maps.Copy(running, pool.Running())
+		maps.Copy(running, pool.RunningByEndpoint())
 	}
 	placed := dispatcher.placed
 	dispatcher.placed = nil
@@ -256,13 +256,13 @@
 	}
 }
 
-// Place takes in what another host sent.
-func (dispatcher *Dispatcher) Place(placed []Placement) {
+// AddPeerPlacements takes in what another host sent.
+func (dispatcher *Dispatcher) AddPeerPlacements(placed []Placement) {
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
 	for _, placement := range placed {
 		for _, pool := range dispatcher.pools {
-			pool.Placed(placement.Endpoint, []bvroute.Part{placement.Part})
+			pool.AddPeerPlacement(placement.Endpoint, []bvroute.Part{placement.Part})
 		}
 	}
 }
@@ -280,9 +280,9 @@
 	return ""
 }
 
-// Running returns how many calls of this host are under way at an endpoint, by the
+// RunningAt returns how many calls of this host are under way at an endpoint, by the
 // hash of its ID.
-func (dispatcher *Dispatcher) Running(endpoint uint64) int {
+func (dispatcher *Dispatcher) RunningAt(endpoint uint64) int {
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
 	for _, pool := range dispatcher.pools {
@@ -301,36 +301,36 @@
 	dispatcher.pool(service).SetLoad(now, endpoint, load)
 }
 
-// UnsharedReports returns how this host's calls ended since the last look, by the hash of
+// TakeOutcomeReports returns how this host's calls ended since the last look, by the hash of
 // the endpoint's ID.
-func (dispatcher *Dispatcher) UnsharedReports() map[uint64]Report {
+func (dispatcher *Dispatcher) TakeOutcomeReports() map[uint64]OutcomeReport {
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
-	unshared := make(map[uint64]Report)
+	unshared := make(map[uint64]OutcomeReport)
 	for _, pool := range dispatcher.pools {
-		maps.Copy(unshared, pool.UnsharedReports())
+		maps.Copy(unshared, pool.TakeOutcomeReports())
 	}
 	return unshared
 }
 
-// Seen takes in how another host's calls ended.
-func (dispatcher *Dispatcher) Seen(reports map[uint64]Report) {
+// AddPeerReports takes in how another host's calls ended.
+func (dispatcher *Dispatcher) AddPeerReports(reports map[uint64]OutcomeReport) {
 	now := dispatcher.clock.Now()
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
 	for endpoint, report := range reports {
 		for _, pool := range dispatcher.pools {
-			pool.Seen(now, endpoint, report)
+			pool.AddPeerReport(now, endpoint, report)
 		}
 	}
 }
 
-// End notes how a call ended.
-func (dispatcher *Dispatcher) End(service, endpoint string, request *Request, result Result) {
+// EndCall notes how a call ended.
+func (dispatcher *Dispatcher) EndCall(service, endpoint string, request *Request, result Result) {
 	hash := HashID(endpoint)
 	dispatcher.tell(hash, dispatcher.end(service, endpoint, hash, request, result))
 	if result.Outcome == Served && dispatcher.tracks(request) {
-		dispatcher.trackers.ReportHolding(request.Program, request.Conversation, hash, request.PromptTokens+result.Made)
+		dispatcher.trackers.ReportHolding(request.Program, request.Conversation, hash, request.PromptTokens+result.OutputTokens)
 	}
 }
 
@@ -340,36 +340,36 @@
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
 	pool := dispatcher.pool(service)
-	pool.End(now, endpoint, result)
+	pool.EndCall(now, endpoint, result)
 	switch result.Outcome {
 	case Broken:
-		dispatcher.suspects.Broke(now, request.Content, hash)
+		dispatcher.suspects.RecordBrokenCall(now, request.ContentHash, hash)
 	case Unreachable, Wrong:
-		dispatcher.suspects.Gone(now, hash)
+		dispatcher.suspects.RecordEndpointLoss(now, hash)
 	}
 	return pool.RunningAt(hash)
 }
 
-// Poisonous reports whether a request has crashed too many endpoints.
-func (dispatcher *Dispatcher) Poisonous(content uint64) bool {
+// IsPoisonous reports whether a request has crashed too many endpoints.
+func (dispatcher *Dispatcher) IsPoisonous(content uint64) bool {
 	now := dispatcher.clock.Now()
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
-	return dispatcher.suspects.Poisonous(now, content)
+	return dispatcher.suspects.IsPoisonous(now, content)
 }
 
-// Crashes returns the crashes to tell other hosts.
-func (dispatcher *Dispatcher) Crashes() []Crash {
+// RecentCrashes returns the crashes to tell other hosts.
+func (dispatcher *Dispatcher) RecentCrashes() []Crash {
 	now := dispatcher.clock.Now()
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
-	return dispatcher.suspects.Recent(now)
+	return dispatcher.suspects.RecentCrashes(now)
 }
 
-// LearnCrash takes in a crash that another host saw.
-func (dispatcher *Dispatcher) LearnCrash(crash Crash) {
+// AddPeerCrash takes in a crash that another host saw.
+func (dispatcher *Dispatcher) AddPeerCrash(crash Crash) {
 	now := dispatcher.clock.Now()
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
-	dispatcher.suspects.Learn(now, crash)
+	dispatcher.suspects.RecordCrash(now, crash)
 }
--- a/bvdispatch/endpoint.go
+++ b/bvdispatch/endpoint.go
@@ -21,9 +21,9 @@
 	cache    cache
 	health   health
 	seen     outlierStats
-	unshared Report       // own calls, since other hosts were told
-	endedAt  bvclock.Time // of this host's last call
-	drawnIn  uint64       // the last drawing with this endpoint
+	unshared OutcomeReport // own calls, since other hosts were told
+	endedAt  bvclock.Time  // of this host's last call
+	drawnIn  uint64        // the last drawing with this endpoint
 }
 
 // peersFor is how long the other hosts' word on their calls is taken before the
--- a/bvdispatch/health.go
+++ b/bvdispatch/health.go
@@ -20,14 +20,14 @@
 
 // Result is how a call at an endpoint ended.
 type Result struct {
-	Outcome Outcome
-	Took    bvclock.Duration // since its sending
-	Begun   bool             // an answer began
-	Erred   bool             // the answer is an error of the endpoint's own
-	Pace    bvclock.Duration // for an event, or for a whole answer without events; 0: not known
-	Made    int              // tokens that were generated
-	Read    int              // prompt tokens that were thought not to be cached
-	First   bvclock.Duration // from the sending to the first event; 0: none, or the call waited
+	Outcome          Outcome
+	Duration         bvclock.Duration // since its sending
+	AnswerStarted    bool             // an answer began
+	IsError          bool             // the answer is an error of the endpoint's own
+	Pace             bvclock.Duration // for an event, or for a whole answer without events; 0: not known
+	OutputTokens     int              // tokens that were generated
+	UncachedTokens   int              // prompt tokens that were thought not to be cached
+	TimeToFirstEvent bvclock.Duration // from the sending to the first event; 0: none, or the call waited
 }
 
 const (
--- a/bvdispatch/outlier.go
+++ b/bvdispatch/outlier.go
@@ -29,19 +29,19 @@
 	hungAfter = 1000 * bvclock.Millisecond
 )
 
-// Report is how an endpoint's calls ended. Reports add up.
-type Report struct {
-	Ended  int
-	Failed int
-	Paced  int // calls whose pace is known
-	Pace   int // sum of their milliseconds for an event, or for a whole answer without events
+// OutcomeReport is how an endpoint's calls ended. Reports add up.
+type OutcomeReport struct {
+	Calls      int
+	Failures   int
+	PacedCalls int // calls whose pace is known
+	PaceMs     int // sum of their milliseconds for an event, or for a whole answer without events
 }
 
-func (report *Report) add(other Report) {
-	report.Ended += other.Ended
-	report.Failed += other.Failed
-	report.Paced += other.Paced
-	report.Pace += other.Pace
+func (report *OutcomeReport) add(other OutcomeReport) {
+	report.Calls += other.Calls
+	report.Failures += other.Failures
+	report.PacedCalls += other.PacedCalls
+	report.PaceMs += other.PaceMs
 }
 
 // outlierStats is what reports of this zone's hosts say of an endpoint. The zero
@@ -60,12 +60,12 @@
 	stats.at = now
 }
 
-func (stats *outlierStats) add(now bvclock.Time, report Report) {
+func (stats *outlierStats) add(now bvclock.Time, report OutcomeReport) {
 	stats.fade(now)
-	stats.ended += float64(report.Ended)
-	stats.failed += float64(report.Failed)
-	stats.paced += float64(report.Paced)
-	stats.pace += float64(report.Pace)
+	stats.ended += float64(report.Calls)
+	stats.failed += float64(report.Failures)
+	stats.paced += float64(report.PacedCalls)
+	stats.pace += float64(report.PaceMs)
 }
 
 // cost is what a call is expected to cost there beyond what it costs elsewhere,
@@ -86,17 +86,17 @@
 }
 
 // reportOf is what one call's end says of its endpoint.
-func reportOf(result Result) Report {
-	report := Report{Ended: 1}
+func reportOf(result Result) OutcomeReport {
+	report := OutcomeReport{Calls: 1}
 	switch {
-	case result.Outcome == Broken, result.Outcome == Unreachable, result.Erred:
-		report.Failed = 1
-	case result.Outcome == Withdrawn && !result.Begun && result.Took > hungAfter:
-		report.Failed = 1
+	case result.Outcome == Broken, result.Outcome == Unreachable, result.IsError:
+		report.Failures = 1
+	case result.Outcome == Withdrawn && !result.AnswerStarted && result.Duration > hungAfter:
+		report.Failures = 1
 	case result.Outcome == Withdrawn, result.Outcome == Full, result.Outcome == Wrong:
-		return Report{}
+		return OutcomeReport{}
 	case result.Pace > 0:
-		report.Paced, report.Pace = 1, int(result.Pace)
+		report.PacedCalls, report.PaceMs = 1, int(result.Pace)
 	}
 	return report
 }
--- a/bvdispatch/outlier_test.go
+++ b/bvdispatch/outlier_test.go
@@ -15,15 +15,15 @@
 		now := bvclock.Time(1 + call*20)
 		request := &Request{}
 		chosen, _ := pool.Choose(now, request)
-		pool.Begin(now, chosen.Name, request)
-		result := Result{Outcome: Served, Took: 50, Begun: true, Pace: 50}
+		pool.BeginCall(now, chosen.Name, request)
+		result := Result{Outcome: Served, Duration: 50, AnswerStarted: true, Pace: 50}
 		if chosen.Name == "e3" {
 			result = ill(call)
 			if call >= calls/2 {
 				reached++
 			}
 		}
-		pool.End(now, chosen.Name, result)
+		pool.EndCall(now, chosen.Name, result)
 	}
 	return reached
 }
@@ -32,9 +32,9 @@
 func TestEndpointThatFailsPartOfItsCallsGetsFew(t *testing.T) {
 	reached := judged(newTestPool(6), 1000, func(call int) Result {
 		if call%5 < 2 {
-			return Result{Outcome: Served, Took: 5, Begun: true, Erred: true}
+			return Result{Outcome: Served, Duration: 5, AnswerStarted: true, IsError: true}
 		}
-		return Result{Outcome: Served, Took: 50, Begun: true, Pace: 50}
+		return Result{Outcome: Served, Duration: 50, AnswerStarted: true, Pace: 50}
 	})
 	require.Less(t, reached, 40, "of 500 calls, 83 by an equal share")
 }
@@ -42,7 +42,7 @@
 // An engine takes eight times as long for each event, and fails nothing.
 func TestSlowEndpointGetsFewCalls(t *testing.T) {
 	reached := judged(newTestPool(6), 1000, func(int) Result {
-		return Result{Outcome: Served, Took: 400, Begun: true, Pace: 400}
+		return Result{Outcome: Served, Duration: 400, AnswerStarted: true, Pace: 400}
 	})
 	require.Less(t, reached, 40)
 }
@@ -50,7 +50,7 @@
 // Guards against an engine that never answers, whose calls all end as withdrawn.
 func TestEndpointThatHangsGetsFewCalls(t *testing.T) {
 	reached := judged(newTestPool(6), 1000, func(int) Result {
-		return Result{Outcome: Withdrawn, Took: 2 * bvclock.Second}
+		return Result{Outcome: Withdrawn, Duration: 2 * bvclock.Second}
 	})
 	require.Less(t, reached, 40)
 }
@@ -58,7 +58,7 @@
 // Callers that leave soon are no fault of the engine.
 func TestCallersThatLeaveSayNothingOfTheEndpoint(t *testing.T) {
 	reached := judged(newTestPool(6), 1000, func(int) Result {
-		return Result{Outcome: Withdrawn, Took: 200}
+		return Result{Outcome: Withdrawn, Duration: 200}
 	})
 	require.Greater(t, reached, 60)
 }
@@ -67,9 +67,9 @@
 func TestEndpointThatIsWellAgainGetsItsShare(t *testing.T) {
 	reached := judged(newTestPool(6), 2000, func(call int) Result {
 		if call < 500 {
-			return Result{Outcome: Broken, Took: 5}
+			return Result{Outcome: Broken, Duration: 5}
 		}
-		return Result{Outcome: Served, Took: 50, Begun: true, Pace: 50}
+		return Result{Outcome: Served, Duration: 50, AnswerStarted: true, Pace: 50}
 	})
 	require.Greater(t, reached, 120, "of 1000 calls, 166 by an equal share")
 }
@@ -81,8 +81,8 @@
 		now := bvclock.Time(1 + call*20)
 		chosen, found := pool.Choose(now, &Request{})
 		require.True(t, found)
-		pool.Begin(now, chosen.Name, &Request{})
-		pool.End(now, chosen.Name, Result{Outcome: Served, Took: 5, Begun: true, Erred: true})
+		pool.BeginCall(now, chosen.Name, &Request{})
+		pool.EndCall(now, chosen.Name, Result{Outcome: Served, Duration: 5, AnswerStarted: true, IsError: true})
 	}
 }
 
@@ -90,13 +90,13 @@
 func TestHostsOfAZoneJudgeTogether(t *testing.T) {
 	here, there := newTestPool(6), newTestPool(6)
 	for range 20 {
-		here.Begin(1, "e3", &Request{})
-		here.End(1, "e3", Result{Outcome: Served, Took: 5, Erred: true})
+		here.BeginCall(1, "e3", &Request{})
+		here.EndCall(1, "e3", Result{Outcome: Served, Duration: 5, IsError: true})
 	}
-	for endpoint, report := range here.UnsharedReports() {
-		there.Seen(1, endpoint, report)
+	for endpoint, report := range here.TakeOutcomeReports() {
+		there.AddPeerReport(1, endpoint, report)
 	}
-	require.Empty(t, here.UnsharedReports(), "told once")
+	require.Empty(t, here.TakeOutcomeReports(), "told once")
 	for range 100 {
 		chosen, _ := there.Choose(2, &Request{})
 		require.NotEqual(t, "e3", chosen.Name)
--- a/bvdispatch/poison.go
+++ b/bvdispatch/poison.go
@@ -41,24 +41,24 @@
 	at bvclock.Time
 }
 
-// Broke notes that an endpoint's connection broke under a request. It alone
+// RecordBrokenCall notes that an endpoint's connection broke under a request. It alone
 // says little: answers get lost for many reasons.
-func (suspects *Suspects) Broke(now bvclock.Time, request, endpoint uint64) {
+func (suspects *Suspects) RecordBrokenCall(now bvclock.Time, request, endpoint uint64) {
 	if len(suspects.failures) >= maxFailures {
 		suspects.failures = suspects.failures[maxFailures/2:]
 	}
 	suspects.failures = append(suspects.failures, failure{Crash{request, endpoint}, now})
 }
 
-// Gone notes that an endpoint can't be reached any more or is another one: the
+// RecordEndpointLoss notes that an endpoint can't be reached any more or is another one: the
 // requests that broke off there just before are suspects.
-func (suspects *Suspects) Gone(now bvclock.Time, endpoint uint64) {
+func (suspects *Suspects) RecordEndpointLoss(now bvclock.Time, endpoint uint64) {
 	kept := suspects.failures[:0]
 	for _, broken := range suspects.failures {
 		switch {
 		case now.Sub(broken.at) > crashWindow:
 		case broken.Endpoint == endpoint:
-			suspects.Learn(now, broken.Crash)
+			suspects.RecordCrash(now, broken.Crash)
 		default:
 			kept = append(kept, broken)
 		}
@@ -66,9 +66,9 @@
 	suspects.failures = kept
 }
 
-// Learn notes a crash, seen here or told by another host; the same one twice
+// RecordCrash notes a crash, seen here or told by another host; the same one twice
 // counts once.
-func (suspects *Suspects) Learn(now bvclock.Time, crash Crash) {
+func (suspects *Suspects) RecordCrash(now bvclock.Time, crash Crash) {
 	if suspects.crashes == nil {
 		suspects.crashes = make(map[uint64]map[uint64]bvclock.Time)
 	}
@@ -82,8 +82,8 @@
 	}
 }
 
-// Poisonous reports whether a request has crashed too many endpoints.
-func (suspects *Suspects) Poisonous(now bvclock.Time, request uint64) bool {
+// IsPoisonous reports whether a request has crashed too many endpoints.
+func (suspects *Suspects) IsPoisonous(now bvclock.Time, request uint64) bool {
 	endpoints := suspects.crashes[request]
 	if len(endpoints) < crashLimit {
 		return false
@@ -97,8 +97,8 @@
 	return false
 }
 
-// Recent returns the crashes to tell other hosts, and forgets old ones.
-func (suspects *Suspects) Recent(now bvclock.Time) []Crash {
+// RecentCrashes returns the crashes to tell other hosts, and forgets old ones.
+func (suspects *Suspects) RecentCrashes(now bvclock.Time) []Crash {
 	var recent []Crash
 	for request, endpoints := range suspects.crashes {
 		latest := bvclock.Time(0)
--- a/bvdispatch/pool.go
+++ b/bvdispatch/pool.go
@@ -15,8 +15,8 @@
 //	pool := bvdispatch.NewPool(seed, zone)
 //	pool.SetEndpoints(now, endpoints)
 //	chosen, found := pool.Choose(now, request)
-//	pool.Begin(now, chosen.ID(), request)
-//	pool.End(now, chosen.ID(), bvdispatch.Result{Outcome: bvdispatch.Served, Took: duration})
+//	pool.BeginCall(now, chosen.ID(), request)
+//	pool.EndCall(now, chosen.ID(), bvdispatch.Result{Outcome: bvdispatch.Served, Duration: duration})
 package bvdispatch
 
 import (
@@ -37,24 +37,24 @@
 	Prefix       []bvroute.Part // of the prompt; empty for plain services
 	PromptTokens int
 	Object       uint64          // that the call concerns; 0: none, or it makes no difference
-	Avoid        map[string]bool // endpoints that must not be chosen again
-	Content      uint64          // what the request is known by when it comes again
-	Held         Held            // where the turn before ran
+	Excluded     map[string]bool // endpoints that must not be chosen again
+	ContentHash  uint64          // what the request is known by when it comes again
+	HeldPrefix   HeldPrefix      // where the turn before ran
 	Program      uint64          // that the turn belongs to; 0: none
 	Conversation uint64          // the line of its turns
 	sought       bool            // its tracker was asked
 	// Among are the endpoints to choose from, by the hashes of their IDs, with the
 	// calls that the other hosts have there now. Nil: all.
-	Among map[uint64]int
+	PeerCalls map[uint64]int
 
 	// Set by Choose, for the log: what the decision went by.
-	Cached int     // tokens of the prompt that the chosen endpoint is thought to have
-	Load   float64 // calls that it is thought to have, from all hosts
+	CachedTokens int     // tokens of the prompt that the chosen endpoint is thought to have
+	Load         float64 // calls that it is thought to have, from all hosts
 }
 
-// Held is the part of a prompt that an endpoint has from the turn before. The zero
+// HeldPrefix is the part of a prompt that an endpoint has from the turn before. The zero
 // value is none.
-type Held struct {
+type HeldPrefix struct {
 	Endpoint uint64 // hash of its ID
 	Tokens   int    // from the prompt's start
 }
@@ -99,8 +99,8 @@
 	}
 }
 
-// Without switches mechanisms off, for experiments.
-func (pool *Pool) Without(mechanisms bvmechanism.Set) { pool.without = mechanisms }
+// Disable switches mechanisms off, for experiments.
+func (pool *Pool) Disable(mechanisms bvmechanism.Set) { pool.without = mechanisms }
 
 // SetEndpoints takes over the platform's list of the service's endpoints. What
 // is known of those that stay is kept. An endpoint that has started again has
@@ -130,8 +130,8 @@
 	return replaced
 }
 
-// Put takes over one endpoint's entry, as SetEndpoints does.
-func (pool *Pool) Put(entry bvplatform.Endpoint) (replaced []uint64) {
+// PutEndpoint takes over one endpoint's entry, as SetEndpoints does.
+func (pool *Pool) PutEndpoint(entry bvplatform.Endpoint) (replaced []uint64) {
 	if row := pool.byName[entry.Name]; row != nil {
 		return pool.renew(row, entry)
 	}
@@ -140,8 +140,8 @@
 	return nil
 }
 
-// Remove takes an endpoint off the list, if it is there.
-func (pool *Pool) Remove(name string) {
+// RemoveEndpoint takes an endpoint off the list, if it is there.
+func (pool *Pool) RemoveEndpoint(name string) {
 	row := pool.byName[name]
 	if row == nil {
 		return
@@ -200,9 +200,9 @@
 // Len returns how many endpoints are listed.
 func (pool *Pool) Len() int { return len(pool.rows) }
 
-// Begin notes that a call is sent to an endpoint. It returns the parts of its
+// BeginCall notes that a call is sent to an endpoint. It returns the parts of its
 // prompt that are new there.
-func (pool *Pool) Begin(now bvclock.Time, id string, request *Request) []bvroute.Part {
+func (pool *Pool) BeginCall(now bvclock.Time, id string, request *Request) []bvroute.Part {
 	pool.noteBeginning(now, request)
 	row := pool.byID(id)
 	if row == nil {
@@ -221,16 +221,16 @@
 	}
 }
 
-// Placed notes parts of prompts that another host sent to an endpoint.
-func (pool *Pool) Placed(endpoint uint64, parts []bvroute.Part) {
+// AddPeerPlacement notes parts of prompts that another host sent to an endpoint.
+func (pool *Pool) AddPeerPlacement(endpoint uint64, parts []bvroute.Part) {
 	if row := pool.byHash[endpoint]; row != nil {
 		row.cache.use(parts, row.entry.CacheTokens)
 	}
 }
 
-// Running returns this host's calls under way, by the hash of the endpoint's
+// RunningByEndpoint returns this host's calls under way, by the hash of the endpoint's
 // ID.
-func (pool *Pool) Running() map[uint64]int {
+func (pool *Pool) RunningByEndpoint() map[uint64]int {
 	running := make(map[uint64]int)
 	for _, row := range pool.rows {
 		if row.running > 0 {
@@ -249,8 +249,8 @@
 	return 0
 }
 
-// End notes how a call ended.
-func (pool *Pool) End(now bvclock.Time, id string, result Result) {
+// EndCall notes how a call ended.
+func (pool *Pool) EndCall(now bvclock.Time, id string, result Result) {
 	row := pool.byID(id)
 	if row == nil {
 		return
@@ -264,12 +264,12 @@
 	if result.Outcome != Served {
 		return
 	}
-	pool.duration.add(float64(result.Took))
+	pool.duration.add(float64(result.Duration))
 	if result.Pace > 0 {
 		pool.pace.add(float64(result.Pace))
 	}
-	if result.First > 0 {
-		pool.reading.add(result.Read, result.First)
+	if result.TimeToFirstEvent > 0 {
+		pool.reading.add(result.UncachedTokens, result.TimeToFirstEvent)
 	}
 }
 
@@ -282,21 +282,21 @@
 	return pool.reading.tokensPerMillisecond()
 }
 
-// Seen takes in another host's report, by the hash of the endpoint's ID.
-func (pool *Pool) Seen(now bvclock.Time, endpoint uint64, report Report) {
+// AddPeerReport takes in another host's report, by the hash of the endpoint's ID.
+func (pool *Pool) AddPeerReport(now bvclock.Time, endpoint uint64, report OutcomeReport) {
 	if row := pool.byHash[endpoint]; row != nil {
 		row.seen.add(now, report)
 	}
 }
 
-// UnsharedReports returns how this host's calls ended since the last look, by the hash of
+// TakeOutcomeReports returns how this host's calls ended since the last look, by the hash of
 // the endpoint's ID.
-func (pool *Pool) UnsharedReports() map[uint64]Report {
-	unshared := make(map[uint64]Report)
+func (pool *Pool) TakeOutcomeReports() map[uint64]OutcomeReport {
+	unshared := make(map[uint64]OutcomeReport)
 	for _, row := range pool.rows {
-		if row.unshared != (Report{}) {
+		if row.unshared != (OutcomeReport{}) {
 			unshared[row.hash] = row.unshared
-			row.unshared = Report{}
+			row.unshared = OutcomeReport{}
 		}
 	}
 	return unshared
--- a/bvdispatch/pool_test.go
+++ b/bvdispatch/pool_test.go
@@ -39,7 +39,7 @@
 	for range 40 {
 		chosen, found := pool.Choose(0, &Request{})
 		require.True(t, found)
-		pool.Begin(0, chosen.Name, &Request{})
+		pool.BeginCall(0, chosen.Name, &Request{})
 	}
 	for _, row := range pool.rows {
 		require.InDelta(t, 10, row.running, 1)
@@ -48,8 +48,8 @@
 
 func TestCallGoesWhereItsPromptIsCached(t *testing.T) {
 	pool := newTestPool(4)
-	pool.Begin(0, "e2", prompt(1, 2))
-	pool.End(0, "e2", Result{Outcome: Served, Took: 300})
+	pool.BeginCall(0, "e2", prompt(1, 2))
+	pool.EndCall(0, "e2", Result{Outcome: Served, Duration: 300})
 	for range 20 {
 		chosen, _ := pool.Choose(0, prompt(1, 2, 3))
 		require.Equal(t, "e2", chosen.Name)
@@ -59,7 +59,7 @@
 // Guards against cached parts that count though a part before them is missing.
 func TestPartBehindAMissingOneIsNotCached(t *testing.T) {
 	pool := newTestPool(1)
-	pool.Begin(0, "e0", prompt(2))
+	pool.BeginCall(0, "e0", prompt(2))
 	require.Zero(t, pool.rows[0].cache.cached(prompt(1, 2).Prefix))
 }
 
@@ -67,9 +67,9 @@
 func TestCachedPromptDoesNotOutweighAFullEndpoint(t *testing.T) {
 	pool := newTestPool(2)
 	pool.duration.add(400)
-	pool.Begin(0, "e0", prompt(1))
+	pool.BeginCall(0, "e0", prompt(1))
 	for range 30 {
-		pool.Begin(0, "e0", &Request{})
+		pool.BeginCall(0, "e0", &Request{})
 	}
 	chosen, _ := pool.Choose(0, prompt(1))
 	require.Equal(t, "e1", chosen.Name)
@@ -82,7 +82,7 @@
 	for range 8 {
 		chosen, _ := pool.Choose(1, &Request{})
 		require.Equal(t, "e1", chosen.Name)
-		pool.Begin(0, chosen.Name, &Request{})
+		pool.BeginCall(0, chosen.Name, &Request{})
 	}
 }
 
@@ -90,7 +90,7 @@
 func TestPlacementOfAnotherHostIsUsed(t *testing.T) {
 	pool := newTestPool(4)
 	for _, part := range prompt(1, 2).Prefix {
-		pool.Placed(HashID("e3"), []bvroute.Part{part})
+		pool.AddPeerPlacement(HashID("e3"), []bvroute.Part{part})
 	}
 	chosen, _ := pool.Choose(0, prompt(1, 2, 3))
 	require.Equal(t, "e3", chosen.Name)
@@ -112,8 +112,8 @@
 func TestFailingEndpointIsLeftForAWhile(t *testing.T) {
 	pool := newTestPool(2)
 	for range 3 {
-		pool.Begin(0, "e0", &Request{})
-		pool.End(0, "e0", Result{Outcome: Unreachable, Took: 1})
+		pool.BeginCall(0, "e0", &Request{})
+		pool.EndCall(0, "e0", Result{Outcome: Unreachable, Duration: 1})
 	}
 	for range 10 {
 		chosen, _ := pool.Choose(1, &Request{})
@@ -127,8 +127,8 @@
 	pool := newTestPool(2)
 	for _, name := range []string{"e0", "e1"} {
 		for range 4 {
-			pool.Begin(0, name, &Request{})
-			pool.End(0, name, Result{Outcome: Unreachable, Took: 1})
+			pool.BeginCall(0, name, &Request{})
+			pool.EndCall(0, name, Result{Outcome: Unreachable, Duration: 1})
 		}
 	}
 	_, found := pool.Choose(1, &Request{})
@@ -137,7 +137,7 @@
 
 func TestAvoidedEndpointsAreNotChosenAgain(t *testing.T) {
 	pool := newTestPool(2)
-	_, found := pool.Choose(0, &Request{Avoid: map[string]bool{"e0": true, "e1": true}})
+	_, found := pool.Choose(0, &Request{Excluded: map[string]bool{"e0": true, "e1": true}})
 	require.False(t, found)
 }
 
@@ -160,31 +160,31 @@
 // Guards against what is known of endpoints being lost with each reading of the list.
 func TestNewListKeepsWhatIsKnown(t *testing.T) {
 	pool := newTestPool(2)
-	pool.Begin(0, "e0", prompt(1))
+	pool.BeginCall(0, "e0", prompt(1))
 	pool.SetEndpoints(engines(1))
 	require.Equal(t, 1, pool.Len())
 	require.Equal(t, 1, pool.byID("e0").running)
-	pool.End(0, "e1", Result{Outcome: Served, Took: 1}) // its call ends after it has gone
+	pool.EndCall(0, "e1", Result{Outcome: Served, Duration: 1}) // its call ends after it has gone
 }
 
 // Guards against a conversation that is read again though its turn names the engine.
 func TestTurnGoesWhereTheOneBeforeRan(t *testing.T) {
 	pool := newTestPool(8)
 	request := prompt(1, 2, 3)
-	request.Held = Held{Endpoint: HashID("e5"), Tokens: 12_000}
+	request.HeldPrefix = HeldPrefix{Endpoint: HashID("e5"), Tokens: 12_000}
 	chosen, _ := pool.Choose(0, request)
 	require.Equal(t, "e5", chosen.Name)
-	require.Equal(t, 12_000, request.Cached)
+	require.Equal(t, 12_000, request.CachedTokens)
 }
 
 // The engine that ran the turn before is gone, or has started again.
 func TestTurnWhoseFormerEngineIsGoneGoesAnywhere(t *testing.T) {
 	pool := newTestPool(2)
 	request := prompt(1, 2)
-	request.Held = Held{Endpoint: HashID("gone"), Tokens: 5000}
+	request.HeldPrefix = HeldPrefix{Endpoint: HashID("gone"), Tokens: 5000}
 	_, found := pool.Choose(0, request)
 	require.True(t, found)
-	require.Zero(t, request.Cached)
+	require.Zero(t, request.CachedTokens)
 }
 
 // Guards against conversations that move to whatever engine is idle for a moment.
@@ -199,8 +199,8 @@
 	pool.reading.rate = 110 // as these engines', once it is learnt
 	request := prompt(1, 2)
 	request.Prefix[1].Tokens, request.PromptTokens = 1500, 7100
-	pool.Placed(HashID("e1"), request.Prefix)
-	pool.Placed(HashID("e6"), request.Prefix[:1])
+	pool.AddPeerPlacement(HashID("e1"), request.Prefix)
+	pool.AddPeerPlacement(HashID("e6"), request.Prefix[:1])
 	chosen, _ := pool.Choose(1, request)
 	require.Equal(t, "e1", chosen.Name)
 }
--- a/bvdispatch/restart_test.go
+++ b/bvdispatch/restart_test.go
@@ -20,9 +20,9 @@
 	pool := NewPool(1, "")
 	before := start("e0", "100", "10.0.0.1:1")
 	pool.SetEndpoints([]bvplatform.Endpoint{before})
-	pool.Begin(0, before.ID(), prompt(1, 2))
+	pool.BeginCall(0, before.ID(), prompt(1, 2))
 	for range 3 {
-		pool.End(0, before.ID(), Result{Outcome: Unreachable, Took: 1})
+		pool.EndCall(0, before.ID(), Result{Outcome: Unreachable, Duration: 1})
 	}
 	pool.SetLoad(0, before.ID(), bvroute.Load{Running: 16, Waiting: 20, Slots: 16})
 	after := start("e0", "200", "10.0.0.1:1")
@@ -39,11 +39,11 @@
 	pool := NewPool(1, "")
 	before, after := start("e0", "100", "10.0.0.1:1"), start("e0", "200", "10.0.0.1:1")
 	pool.SetEndpoints([]bvplatform.Endpoint{before})
-	pool.Begin(0, before.ID(), prompt(1))
+	pool.BeginCall(0, before.ID(), prompt(1))
 	pool.SetEndpoints([]bvplatform.Endpoint{after})
-	pool.Begin(0, after.ID(), prompt(2))
+	pool.BeginCall(0, after.ID(), prompt(2))
 	pool.SetLoad(1, before.ID(), bvroute.Load{Running: 16, Slots: 16})
-	pool.End(1, before.ID(), Result{Outcome: Unreachable, Took: 1})
+	pool.EndCall(1, before.ID(), Result{Outcome: Unreachable, Duration: 1})
 	row := pool.byID(after.ID())
 	require.Equal(t, 1, row.running)
 	require.True(t, row.open(1))
@@ -55,7 +55,7 @@
 	pool := NewPool(1, "")
 	before, after := start("e0", "100", "10.0.0.1:1"), start("e0", "200", "10.0.0.1:1")
 	pool.SetEndpoints([]bvplatform.Endpoint{after})
-	pool.Placed(HashID(before.ID()), prompt(1).Prefix)
+	pool.AddPeerPlacement(HashID(before.ID()), prompt(1).Prefix)
 	pool.SetPeerLoads(1, map[uint64]int{HashID(before.ID()): 9})
 	require.Zero(t, pool.byID(after.ID()).cache.cached(prompt(1).Prefix))
 	require.Zero(t, pool.byID(after.ID()).load(1))
@@ -66,7 +66,7 @@
 	pool := NewPool(1, "")
 	before, after := start("e0", "", "10.0.0.1:1"), start("e0", "", "10.0.0.2:1")
 	pool.SetEndpoints([]bvplatform.Endpoint{before})
-	pool.Begin(0, before.ID(), prompt(1))
+	pool.BeginCall(0, before.ID(), prompt(1))
 	pool.SetEndpoints([]bvplatform.Endpoint{after})
 	require.Zero(t, pool.byID(after.ID()).cache.cached(prompt(1).Prefix))
 }
@@ -75,15 +75,15 @@
 func TestEngineThatStartedAgainUnderARequestCountsAsCrashed(t *testing.T) {
 	clock := &bvclock.Manual{}
 	dispatcher := NewDispatcher(clock, 1, "")
-	request := &Request{Content: 7}
+	request := &Request{ContentHash: 7}
 	for number := range crashLimit {
 		name := string(rune('a' + number))
 		before, after := start(name, "100", "10.0.0.1:1"), start(name, "200", "10.0.0.1:1")
 		before.Serves, after.Serves = "s", "s"
 		dispatcher.SetEndpoints([]bvplatform.Endpoint{before})
-		dispatcher.End("s", before.ID(), request, Result{Outcome: Broken})
-		require.False(t, dispatcher.Poisonous(7))
+		dispatcher.EndCall("s", before.ID(), request, Result{Outcome: Broken})
+		require.False(t, dispatcher.IsPoisonous(7))
 		dispatcher.SetEndpoints([]bvplatform.Endpoint{after})
 	}
-	require.True(t, dispatcher.Poisonous(7))
+	require.True(t, dispatcher.IsPoisonous(7))
 }
--- a/bvdispatch/sample.go
+++ b/bvdispatch/sample.go
@@ -41,7 +41,7 @@
 	}
 	cached, open := 0, 0
 	for _, row := range rows {
-		if !row.open(snapshot.now) || request.Avoid[row.entry.Name] {
+		if !row.open(snapshot.now) || request.Excluded[row.entry.Name] {
 			continue
 		}
 		open++
--- a/bvdispatch/sample_test.go
+++ b/bvdispatch/sample_test.go
@@ -26,7 +26,7 @@
 		pool, request := pools[i%hosts], prompt(uint64(i%5), uint64(1000+i))
 		chosen, found := pool.Choose(1, request)
 		require.True(t, found)
-		pool.Begin(1, chosen.Name, request)
+		pool.BeginCall(1, chosen.Name, request)
 		reached[chosen.Name]++
 	}
 	require.Positive(t, reached[listed[17].Name])
@@ -46,7 +46,7 @@
 	for session := range uint64(30) {
 		request := prompt(session%5, 1000+session)
 		first, _ := pool.Choose(1, request)
-		pool.Begin(1, first.Name, request)
+		pool.BeginCall(1, first.Name, request)
 		next, _ := pool.Choose(1, request)
 		require.Equal(t, first.Name, next.Name)
 	}
@@ -73,9 +73,9 @@
 func TestPoolIsCrowdedWhenHalfOfItsPlacesAreTaken(t *testing.T) {
 	pool := newTestPool(1)
 	for range 7 {
-		pool.Begin(0, "e0", &Request{})
+		pool.BeginCall(0, "e0", &Request{})
 	}
 	require.False(t, snapshot{share: pool.share(0)}.crowded())
-	pool.Begin(0, "e0", &Request{})
+	pool.BeginCall(0, "e0", &Request{})
 	require.True(t, snapshot{share: pool.share(0)}.crowded())
 }
--- a/bvdispatch/shortlist.go
+++ b/bvdispatch/shortlist.go
@@ -18,8 +18,8 @@
 // ask. Below, nearly all endpoints are idle.
 const askedShare = 0.1
 
-// Asks reports whether a decision should be told how many calls endpoints have now.
-func (pool *Pool) Asks(now bvclock.Time) bool { return pool.share(now) >= askedShare }
+// NeedsPeerCalls reports whether a decision should be told how many calls endpoints have now.
+func (pool *Pool) NeedsPeerCalls(now bvclock.Time) bool { return pool.share(now) >= askedShare }
 
 // shortlisted is how many endpoints are asked about. With three, most calls find one
 // with room when a third of all places is free; each more is a datagram and its answer.
@@ -38,7 +38,7 @@
 	rows := pool.candidates(request)
 	sample := pool.newSample(snapshot, request, rows)
 	for _, row := range rows {
-		if row.open(now) && !request.Avoid[row.entry.Name] && sample.has(row) {
+		if row.open(now) && !request.Excluded[row.entry.Name] && sample.has(row) {
 			candidates = append(candidates, candidate{row, pool.cost(snapshot, row, request)})
 		}
 	}
@@ -53,15 +53,15 @@
 // sampleOf returns which of some endpoints a decision looks at: those that it was told
 // of, or a sample.
 func (pool *Pool) sampleOf(snapshot snapshot, request *Request, rows []*endpoint) sample {
-	if len(request.Among) == 0 {
+	if len(request.PeerCalls) == 0 {
 		return pool.newSample(snapshot, request, rows)
 	}
-	for endpoint, count := range request.Among {
+	for endpoint, count := range request.PeerCalls {
 		if row := pool.byHash[endpoint]; row != nil {
 			row.setPeers(snapshot.now, count)
 		}
 	}
-	return sample{among: request.Among}
+	return sample{among: request.PeerCalls}
 }
 
 // setPeers takes in how many calls the other hosts have at the endpoint now. That is
--- a/bvdispatch/shortlist_test.go
+++ b/bvdispatch/shortlist_test.go
@@ -14,7 +14,7 @@
 	counts map[uint64]int
 	asked  [][]uint64
 	used   map[uint64]int
-	held   map[uint64]Held
+	held   map[uint64]HeldPrefix
 	wanted []uint64
 }
 
@@ -26,9 +26,9 @@
 
 func (trackers *fakeTrackers) ReportHolding(_, conversation, endpoint uint64, tokens int) {
 	if trackers.held == nil {
-		trackers.held = make(map[uint64]Held)
+		trackers.held = make(map[uint64]HeldPrefix)
 	}
-	trackers.held[conversation] = Held{Endpoint: endpoint, Tokens: tokens}
+	trackers.held[conversation] = HeldPrefix{Endpoint: endpoint, Tokens: tokens}
 }
 
 func (trackers *fakeTrackers) QueryRunning(endpoints []uint64) map[uint64]int {
@@ -95,7 +95,7 @@
 		require.Equal(t, "e3", chosen.Name)
 	}
 	require.Equal(t, 5, trackers.used[HashID("e3")])
-	dispatcher.End("model", "e3", prompt(1, 2), Result{Outcome: Served, Took: 300})
+	dispatcher.EndCall("model", "e3", prompt(1, 2), Result{Outcome: Served, Duration: 300})
 	require.Equal(t, 4, trackers.used[HashID("e3")])
 }
 
@@ -115,8 +115,8 @@
 func TestTrackersWordDoesNotOpenAnEndpoint(t *testing.T) {
 	pool := newTestPool(3)
 	request := prompt(1, 2)
-	request.Avoid = map[string]bool{"e0": true}
-	request.Among = map[uint64]int{HashID("e0"): 0, HashID("gone"): 0}
+	request.Excluded = map[string]bool{"e0": true}
+	request.PeerCalls = map[uint64]int{HashID("e0"): 0, HashID("gone"): 0}
 	chosen, found := pool.Choose(1, request)
 	require.True(t, found)
 	require.NotEqual(t, "e0", chosen.Name)
@@ -135,7 +135,7 @@
 func TestWithoutProbesNobodyIsAskedOrTold(t *testing.T) {
 	trackers := &fakeTrackers{}
 	dispatcher := crowdedDispatcher(trackers)
-	dispatcher.Without(bvmechanism.Set(0).With(bvmechanism.Probes))
+	dispatcher.Disable(bvmechanism.Set(0).With(bvmechanism.Probes))
 	_, found := dispatcher.Choose("model", prompt(1, 2))
 	require.True(t, found)
 	require.Empty(t, trackers.asked)
@@ -150,7 +150,7 @@
 		loads[row.hash] = 12
 	}
 	pool.SetPeerLoads(1, loads)
-	pool.Begin(1, "e7", prompt(1, 2))
+	pool.BeginCall(1, "e7", prompt(1, 2))
 	for range 50 {
 		shortlist := pool.Shortlist(1, prompt(1, 2, 3))
 		require.LessOrEqual(t, len(shortlist), shortlisted)
@@ -166,14 +166,14 @@
 		first := prompt(conversation%3, 1000+conversation)
 		first.Program, first.Conversation = conversation, conversation
 		chosen, _ := here.Choose("model", first)
-		here.End("model", chosen.Name, first, Result{Outcome: Served, Took: 300, Made: 200})
-		require.False(t, there.UnderWay(&Request{Program: 1000, Conversation: 1000}))
+		here.EndCall("model", chosen.Name, first, Result{Outcome: Served, Duration: 300, OutputTokens: 200})
+		require.False(t, there.HasEarlierTurns(&Request{Program: 1000, Conversation: 1000}))
 		next := prompt(conversation%3, 1000+conversation, 2000+conversation)
 		next.Program, next.Conversation = conversation, conversation
-		require.True(t, there.UnderWay(next))
+		require.True(t, there.HasEarlierTurns(next))
 		followed, _ := there.Choose("model", next)
 		require.Equal(t, chosen.Name, followed.Name)
-		there.End("model", followed.Name, next, Result{Outcome: Served, Took: 300})
+		there.EndCall("model", followed.Name, next, Result{Outcome: Served, Duration: 300})
 	}
 }
 
@@ -183,7 +183,7 @@
 	dispatcher := crowdedDispatcher(trackers)
 	request := prompt(1, 2)
 	request.Program, request.Conversation = 7, 7
-	require.False(t, dispatcher.UnderWay(request))
+	require.False(t, dispatcher.HasEarlierTurns(request))
 	for range 2 {
 		_, found := dispatcher.Choose("model", request)
 		require.True(t, found)
--- a/bventry/entry.go
+++ b/bventry/entry.go
@@ -44,17 +44,17 @@
 	view  *bvhost.View
 	peers *bvpeer.Pool
 	owner Owner
-	count Count
+	count Counter
 	log   logrus.FieldLogger
 }
 
-// Count counts how often something happened.
-type Count interface {
+// Counter counts how often something happened.
+type Counter interface {
 	Add(name string, delta int64)
 }
 
 // New returns an entry; owner is this host's own.
-func New(clock bvclock.Clock, view *bvhost.View, peers *bvpeer.Pool, owner Owner, count Count, log logrus.FieldLogger) *Entry {
+func New(clock bvclock.Clock, view *bvhost.View, peers *bvpeer.Pool, owner Owner, count Counter, log logrus.FieldLogger) *Entry {
 	return &Entry{clock: clock, view: view, peers: peers, owner: owner, count: count, log: log}
 }
 
@@ -113,8 +113,8 @@
 	return bvverdict.New(bvverdict.MayHaveRun, bvverdict.Canceled, "the caller went away").WithCause(ctx.Err())
 }
 
-// ProgramPlace is the key by which the hosts that may own a program are ranked.
-func ProgramPlace(member, program string) string {
+// ProgramKey is the key by which the hosts that may own a program are ranked.
+func ProgramKey(member, program string) string {
 	return "program/" + member + "/" + program
 }
 
@@ -126,7 +126,7 @@
 
 // eachOwner asks the candidates for a program until one gives a final answer.
 func (entry *Entry) eachOwner(ctx context.Context, member, program string, ask func(context.Context, bvplatform.Host) error) error {
-	candidates := entry.view.Candidates(entry.clock.Now(), ProgramPlace(member, program))
+	candidates := entry.view.Candidates(entry.clock.Now(), ProgramKey(member, program))
 	var loss error
 	for _, host := range candidates[:min(len(candidates), hostsPerCall)] {
 		askContext, span := bvtrace.Start(ctx, "relay")
--- a/bvfleet/caps.go
+++ b/bvfleet/caps.go
@@ -76,7 +76,7 @@
 )
 
 // capBounds say how exactly caps must be kept.
-var capBounds = bvquota.Bounds{Window: 5 * bvclock.Second, Over: 0.1, Slack: 20}
+var capBounds = bvquota.Bounds{Window: 5 * bvclock.Second, OverRatio: 0.1, Slack: 20}
 
 // capPlay is a load under way.
 type capPlay struct {
@@ -102,7 +102,7 @@
 
 type capMail struct {
 	from uint64
-	uses []bvquota.Use
+	uses []bvquota.Usage
 }
 
 // PlayCaps plays a load to its end, by one way.
@@ -143,7 +143,7 @@
 		play.caps = append(play.caps, bvquota.Cap{Workspace: fmt.Sprintf("workspace-%d", rank), Rate: rate, Burst: rate})
 	}
 	whole := capBounds
-	whole.Unused = true
+	whole.StartFull = true
 	play.single = play.newLimiter(1, whole, play.caps)
 	play.hosts = make([]*capHost, play.load.Hosts)
 	play.startHosts()
@@ -159,10 +159,10 @@
 // startHosts starts all hosts anew.
 func (play *capPlay) startHosts() {
 	caps, known, bounds := play.caps, play.load.Hosts, capBounds
-	bounds.Unused = play.born == 0
+	bounds.StartFull = play.born == 0
 	if play.way == SplitCaps {
 		caps, known = make([]bvquota.Cap, len(play.caps)), 1
-		bounds.Over, bounds.Slack = 0, 0 // it is for all hosts together
+		bounds.OverRatio, bounds.Slack = 0, 0 // it is for all hosts together
 		for i, limit := range play.caps {
 			part := 1 / float64(play.load.Hosts)
 			caps[i] = bvquota.Cap{Workspace: limit.Workspace, Rate: limit.Rate * part, Burst: max(limit.Burst*part, 1)}
@@ -206,7 +206,7 @@
 func (play *capPlay) request(now bvclock.Time, workspace int) {
 	host := play.hosts[play.random.IntN(len(play.hosts))]
 	request := bvquota.Request{Workspace: play.caps[workspace].Workspace}
-	wanted := play.single.TakeHere(request).Outcome == bvquota.Granted
+	wanted := play.single.TakeAsAllocator(request).Outcome == bvquota.Granted
 	decision := play.decide(host, request)
 	play.result.Requests++
 	switch {
@@ -234,14 +234,14 @@
 	if standby {
 		allocator = play.hosts[(first+1)%len(play.hosts)]
 	}
-	request.Standby = standby
+	request.FromStandby = standby
 	if play.way == SplitCaps || play.way == ToldCaps || allocator == host {
-		return host.limiter.TakeHere(request)
+		return host.limiter.TakeAsAllocator(request)
 	}
 	play.result.Asks++
-	decision = allocator.limiter.Claim(host.id, host.limiter.OwnUse(request.Workspace), request)
+	decision = allocator.limiter.DecideClaim(host.id, host.limiter.OwnUsage(request.Workspace), request)
 	if decision.Outcome == bvquota.Granted {
-		host.limiter.Granted(request.Workspace)
+		host.limiter.RecordGrant(request.Workspace)
 	}
 	return decision
 }
@@ -255,7 +255,7 @@
 	for i, host := range play.hosts {
 		if (int64(now)/int64(capStep)+int64(i))%rounds == 0 {
 			at := now.Add(capStep)
-			play.mail[at] = append(play.mail[at], capMail{host.id, host.limiter.Uses()})
+			play.mail[at] = append(play.mail[at], capMail{host.id, host.limiter.RecentUsage()})
 		}
 	}
 }
@@ -264,7 +264,7 @@
 	for _, mail := range play.mail[now] {
 		for _, host := range play.hosts {
 			if host.id != mail.from {
-				host.limiter.Hear(mail.from, mail.uses)
+				host.limiter.RecordUsage(mail.from, mail.uses)
 			}
 		}
 	}
@@ -278,7 +278,7 @@
 		slices.Sort(ran)
 		limit := play.caps[workspace]
 		whole := limit.Rate*float64(capBounds.Window)/float64(bvclock.Second) + limit.Burst
-		allowed := whole*(1+capBounds.Over) + capBounds.Slack
+		allowed := whole*(1+capBounds.OverRatio) + capBounds.Slack
 		first := 0
 		for last, at := range ran {
 			for ran[first].Before(at.Add(-capBounds.Window)) {
--- a/bvfleet/digest.go
+++ b/bvfleet/digest.go
@@ -45,7 +45,7 @@
 		}
 		for _, placed := range teller.placed {
 			if host.zone == teller.zone || host.zone == play.byHash[placed.Endpoint].zone {
-				host.pool.Placed(placed.Endpoint, []bvroute.Part{placed.Part})
+				host.pool.AddPeerPlacement(placed.Endpoint, []bvroute.Part{placed.Part})
 			}
 		}
 	}
--- a/bvfleet/play.go
+++ b/bvfleet/play.go
@@ -87,7 +87,7 @@
 	for i := range play.load.Hosts {
 		zone := i % play.load.Zones
 		pool := bvdispatch.NewPool(play.load.Seed<<32+uint64(i), zoneName(zone))
-		pool.Without(play.load.Without)
+		pool.Disable(play.load.Without)
 		pool.SetEndpoints(listed)
 		play.hosts = append(play.hosts, &host{zone: zone, pool: pool, running: make(map[uint64]int)})
 	}
@@ -154,7 +154,7 @@
 func (play *play) send(program *program) {
 	host := play.hosts[program.host]
 	if program.at == 0 {
-		if comeBack, admitted := host.pool.Admit(play.now, bvdispatch.Newcomer{Priority: program.kind.Priority, Workspace: program.workspace}); !admitted {
+		if comeBack, admitted := host.pool.Admit(play.now, bvdispatch.NewProgram{Priority: program.kind.Priority, Workspace: program.workspace}); !admitted {
 			play.result.Refusals++
 			play.comeAgain(program, comeBack)
 			return
@@ -162,10 +162,10 @@
 	}
 	request := &bvdispatch.Request{Prefix: program.prefix, PromptTokens: program.tokens}
 	if play.load.Trackers && program.at > 0 {
-		request.Held = program.held
+		request.HeldPrefix = program.held
 	}
-	if play.load.Trackers && host.pool.Asks(play.now) {
-		request.Among = play.counts(host, host.pool.Shortlist(play.now, request))
+	if play.load.Trackers && host.pool.NeedsPeerCalls(play.now) {
+		request.PeerCalls = play.counts(host, host.pool.Shortlist(play.now, request))
 	}
 	chosen, found := host.pool.Choose(play.now, request)
 	if !found {
@@ -186,7 +186,7 @@
 
 func (play *play) begin(program *program, request *bvdispatch.Request, engine *engine) {
 	host := play.hosts[program.host]
-	for _, part := range host.pool.Begin(play.now, engine.id, request) {
+	for _, part := range host.pool.BeginCall(play.now, engine.id, request) {
 		host.placed = append(host.placed, bvdispatch.Placement{Endpoint: engine.hash, Part: part})
 	}
 	host.running[engine.hash]++
@@ -214,7 +214,7 @@
 // end notes a turn's end and plans the next one.
 func (play *play) end(call *call) {
 	program := call.program
-	program.held = bvdispatch.Held{Endpoint: call.engine.hash, Tokens: program.tokens}
+	program.held = bvdispatch.HeldPrefix{Endpoint: call.engine.hash, Tokens: program.tokens}
 	play.leave(call, bvdispatch.Served)
 	program.tries, program.sends = 0, 0
 	pause := program.turns[program.at].pause
@@ -232,7 +232,7 @@
 
 func (play *play) leave(call *call, outcome bvdispatch.Outcome) {
 	host := play.hosts[call.host]
-	host.pool.End(play.now, call.engine.id, bvdispatch.Result{Outcome: outcome, Took: play.now.Sub(call.sentAt), Begun: call.started})
+	host.pool.EndCall(play.now, call.engine.id, bvdispatch.Result{Outcome: outcome, Duration: play.now.Sub(call.sentAt), AnswerStarted: call.started})
 	if host.running[call.engine.hash]--; host.running[call.engine.hash] == 0 {
 		delete(host.running, call.engine.hash)
 	}
--- a/bvfleet/program.go
+++ b/bvfleet/program.go
@@ -24,7 +24,7 @@
 	tries  int // of the turn
 	sends  int // of the turn, each with its tries
 	failed bool
-	held   bvdispatch.Held // where its last turn ran
+	held   bvdispatch.HeldPrefix // where its last turn ran
 }
 
 // turn is one turn of a program, as it is drawn.
--- a/bvforward/send.go
+++ b/bvforward/send.go
@@ -171,7 +171,7 @@
 func (connections *Connections) newResponse(parsed *http.Response, connection *connection) *Response {
 	whole := &wholeReader{source: parsed.Body}
 	answer := connections.Wire.ReadAnswer(parsed.StatusCode, parsed.Header)
-	answer.LastAnswer = parsed.Close
+	answer.ClosesConnection = parsed.Close
 	framed := parsed.ContentLength >= 0 || len(parsed.TransferEncoding) > 0
 	return &Response{
 		Status:      parsed.StatusCode,
@@ -199,7 +199,7 @@
 		_ = response.connection.Close() // nothing more is expected from it
 		return
 	}
-	response.connection.keep = response.Answer.Keep
+	response.connection.keep = response.Answer.KeepAlive
 	if response.connection.keep <= 0 {
 		response.connection.keep = defaultKeep
 	}
--- a/bvfront/admit_test.go
+++ b/bvfront/admit_test.go
@@ -19,11 +19,11 @@
 	underWay uint64 // the program that had turns before
 }
 
-func (fullDispatcher) Admit(string, bvdispatch.Newcomer) (bvclock.Duration, bool) {
+func (fullDispatcher) Admit(string, bvdispatch.NewProgram) (bvclock.Duration, bool) {
 	return bvclock.Second, false
 }
 
-func (dispatcher fullDispatcher) UnderWay(request *bvdispatch.Request) bool {
+func (dispatcher fullDispatcher) HasEarlierTurns(request *bvdispatch.Request) bool {
 	return request.Program == dispatcher.underWay
 }
 
--- a/bvfront/call.go
+++ b/bvfront/call.go
@@ -117,14 +117,14 @@
 		Prefix:       call.metadata.Prefix,
 		PromptTokens: call.metadata.PromptTokens,
 		Object:       call.object(),
-		Content:      call.content(),
+		ContentHash:  call.content(),
 	}
 	if call.service.Engine != nil && call.metadata.Program != "" {
 		program := call.scoped(call.metadata.Program)
-		call.placement.Program = bvroute.Draw(program)
-		call.placement.Conversation = bvroute.Draw(program + " " + call.metadata.Session)
+		call.placement.Program = bvroute.HashKey(program)
+		call.placement.Conversation = bvroute.HashKey(program + " " + call.metadata.Session)
 	}
-	if call.front.parts.Dispatcher.Poisonous(call.placement.Content) {
+	if call.front.parts.Dispatcher.IsPoisonous(call.placement.ContentHash) {
 		return bvverdict.Refuse(bvverdict.Poisonous, "the request has crashed several endpoints").WithRetryAfter(longRetry)
 	}
 	if err := call.prepareTurn(); err != nil {
@@ -139,7 +139,7 @@
 	if !call.route.Sticky || call.metadata.Affinity == "" || call.front.parts.Without.Has(bvmechanism.Objects) {
 		return 0
 	}
-	return bvroute.Draw(call.metadata.Affinity)
+	return bvroute.HashKey(call.metadata.Affinity)
 }
 
 // content is what the request is known by when it comes again, through any
@@ -185,9 +185,9 @@
 // draw keeps a program's turns with one service of a split route.
 func (call *call) draw() uint64 {
 	if call.metadata.Program != "" {
-		return bvroute.Draw(call.metadata.Program)
+		return bvroute.HashKey(call.metadata.Program)
 	}
-	return bvroute.Draw(call.metadata.ID)
+	return bvroute.HashKey(call.metadata.ID)
 }
 
 // left is the time until the caller or the route gives up.
--- a/bvfront/finish.go
+++ b/bvfront/finish.go
@@ -99,9 +99,9 @@
 		fields["load"] = fmt.Sprintf("%d+%d/%d", call.load.Running, call.load.Waiting, call.load.Slots)
 	}
 	if call.service != nil && call.service.Engine != nil && call.sends > 0 {
-		fields["prompt"], fields["cached"] = call.placement.PromptTokens, call.placement.Cached
+		fields["prompt"], fields["cached"] = call.placement.PromptTokens, call.placement.CachedTokens
 		fields["load_thought"] = int(call.placement.Load)
-		fields["asked"] = len(call.placement.Among)
+		fields["asked"] = len(call.placement.PeerCalls)
 	}
 	if call.stream.count > 0 {
 		fields["first_ms"] = int64(call.firstAt.Sub(call.arrived))
--- a/bvfront/front.go
+++ b/bvfront/front.go
@@ -78,13 +78,13 @@
 
 // Dispatcher chooses endpoints. Its methods are safe for concurrent use.
 type Dispatcher interface {
-	Admit(service string, newcomer bvdispatch.Newcomer) (comeBack bvclock.Duration, admitted bool)
-	// UnderWay reports whether the request's program had turns before this one.
-	UnderWay(request *bvdispatch.Request) bool
+	Admit(service string, newcomer bvdispatch.NewProgram) (comeBack bvclock.Duration, admitted bool)
+	// HasEarlierTurns reports whether the request's program had turns before this one.
+	HasEarlierTurns(request *bvdispatch.Request) bool
 	Choose(service string, request *bvdispatch.Request) (bvplatform.Endpoint, bool)
 	SetLoad(service, endpoint string, load bvroute.Load)
-	End(service, endpoint string, request *bvdispatch.Request, result bvdispatch.Result)
-	Poisonous(content uint64) bool
+	EndCall(service, endpoint string, request *bvdispatch.Request, result bvdispatch.Result)
+	IsPoisonous(content uint64) bool
 }
 
 // Endpoints sends a request to an endpoint, once.
--- a/bvfront/send.go
+++ b/bvfront/send.go
@@ -54,10 +54,10 @@
 }
 
 func (call *call) avoid(endpoint string) {
-	if call.placement.Avoid == nil {
-		call.placement.Avoid = make(map[string]bool)
+	if call.placement.Excluded == nil {
+		call.placement.Excluded = make(map[string]bool)
 	}
-	call.placement.Avoid[endpoint] = true
+	call.placement.Excluded[endpoint] = true
 }
 
 func (call *call) mayTryAgain(err error) bool {
@@ -126,17 +126,17 @@
 // ended tells the dispatcher how the last send ended.
 func (call *call) ended(outcome bvdispatch.Outcome) {
 	now := call.front.parts.Clock.Now()
-	result := bvdispatch.Result{Outcome: outcome, Took: now.Sub(call.sentAt), Begun: call.answered, Erred: call.erred, Made: call.generated()}
+	result := bvdispatch.Result{Outcome: outcome, Duration: now.Sub(call.sentAt), AnswerStarted: call.answered, IsError: call.erred, OutputTokens: call.generated()}
 	switch {
 	case call.service.Engine == nil:
-		result.Pace = result.Took
+		result.Pace = result.Duration
 	case call.stream.count > 1:
 		result.Pace = now.Sub(call.firstAt) / bvclock.Duration(call.stream.count-1)
 	}
 	if call.stream.count > 0 && call.load.Waiting == 0 { // else it waited for a place
-		result.Read, result.First = max(call.placement.PromptTokens-call.placement.Cached, 0), call.firstAt.Sub(call.sentAt)
+		result.UncachedTokens, result.TimeToFirstEvent = max(call.placement.PromptTokens-call.placement.CachedTokens, 0), call.firstAt.Sub(call.sentAt)
 	}
-	call.front.parts.Dispatcher.End(call.service.Name, call.at.ID(), &call.placement, result)
+	call.front.parts.Dispatcher.EndCall(call.service.Name, call.at.ID(), &call.placement, result)
 }
 
 // refused notes that an endpoint did not run the request.
@@ -163,7 +163,7 @@
 
 // continues reports whether the request's program is under way.
 func (call *call) continues() bool {
-	return call.metadata.Continues() || call.placement.Held != (bvdispatch.Held{})
+	return call.metadata.Continues() || call.placement.HeldPrefix != (bvdispatch.HeldPrefix{})
 }
 
 func (call *call) outgoing(endpoint bvplatform.Endpoint) *bvforward.Request {
--- a/bvfront/turn.go
+++ b/bvfront/turn.go
@@ -39,9 +39,9 @@
 	if call.service.Engine == nil || call.metadata.Continues() {
 		return nil
 	}
-	newcomer := bvdispatch.Newcomer{Priority: call.priority(), Workspace: call.workspaceName()}
+	newcomer := bvdispatch.NewProgram{Priority: call.priority(), Workspace: call.workspaceName()}
 	comeBack, admitted := call.front.parts.Dispatcher.Admit(call.service.Name, newcomer)
-	if admitted || call.front.parts.Dispatcher.UnderWay(&call.placement) {
+	if admitted || call.front.parts.Dispatcher.HasEarlierTurns(&call.placement) {
 		return nil
 	}
 	call.front.parts.Counters.Add("programs_turned_away", 1)
@@ -72,7 +72,7 @@
 }
 
 func (call *call) reserve() (err error) {
-	most := call.metadata.OutputTokens
+	most := call.metadata.MaxOutputTokens
 	if most <= 0 {
 		most = call.metadata.Budget
 	}
@@ -89,13 +89,13 @@
 func (call *call) loadConversation() (err error) {
 	call.input = call.body
 	call.stream.keep = true
-	call.chain, err = call.front.parts.Histories.Chain(call.ctx, call.scoped(call.metadata.Program), call.scoped(call.metadata.Parent))
+	call.chain, err = call.front.parts.Histories.Chain(call.ctx, call.scoped(call.metadata.Program), call.scoped(call.metadata.ParentTurn))
 	if err != nil {
 		return err
 	}
 	call.body = call.chain.Prompt(call.input)
 	ran := call.chain.Placement()
-	call.placement.Held = bvdispatch.Held{Endpoint: ran.Endpoint, Tokens: ran.Tokens}
+	call.placement.HeldPrefix = bvdispatch.HeldPrefix{Endpoint: ran.Endpoint, Tokens: ran.Tokens}
 	return nil
 }
 
--- a/bvfront/workspace.go
+++ b/bvfront/workspace.go
@@ -57,11 +57,11 @@
 
 // takeQuota counts the request against its workspace's usage cap.
 func (call *call) takeQuota() error {
-	if call.workspace == nil || !call.workspace.Capped() {
+	if call.workspace == nil || !call.workspace.HasCap() {
 		return nil
 	}
-	decision := call.front.parts.Quotas.Take(bvquota.Request{Workspace: call.workspace.Name, Fresh: call.mayBeFirst()})
-	if decision.Outcome == bvquota.Refused && call.mayBeFirst() && call.front.parts.Dispatcher.UnderWay(&call.placement) {
+	decision := call.front.parts.Quotas.Take(bvquota.Request{Workspace: call.workspace.Name, NewProgram: call.mayBeFirst()})
+	if decision.Outcome == bvquota.Refused && call.mayBeFirst() && call.front.parts.Dispatcher.HasEarlierTurns(&call.placement) {
 		decision = call.front.parts.Quotas.Take(bvquota.Request{Workspace: call.workspace.Name})
 	}
 	switch decision.Outcome {
@@ -116,4 +116,4 @@
 }
 
 // priority returns the rank of the request.
-func (call *call) priority() int { return call.workspace.Rank(call.route) }
+func (call *call) priority() int { return call.workspace.PriorityOn(call.route) }
--- a/bvgossip/gossip.go
+++ b/bvgossip/gossip.go
@@ -99,8 +99,8 @@
 type Endpoints interface {
 	// ZoneOf returns an endpoint's availability zone, or "" where it is not listed.
 	ZoneOf(endpoint uint64) string
-	// Running returns how many calls of this host are under way at an endpoint.
-	Running(endpoint uint64) int
+	// RunningAt returns how many calls of this host are under way at an endpoint.
+	RunningAt(endpoint uint64) int
 }
 
 // New returns a Gossip that sends from the given socket, for a host in an
--- a/bvgossip/gossip_test.go
+++ b/bvgossip/gossip_test.go
@@ -36,7 +36,7 @@
 type fakeEndpoints map[uint64]string
 
 func (endpoints fakeEndpoints) ZoneOf(endpoint uint64) string { return endpoints[endpoint] }
-func (endpoints fakeEndpoints) Running(uint64) int            { return 0 }
+func (endpoints fakeEndpoints) RunningAt(uint64) int          { return 0 }
 
 func (host *host) HandleDigest(digest *Digest) {
 	host.mutex.Lock()
--- a/bvgossip/probe.go
+++ b/bvgossip/probe.go
@@ -165,7 +165,7 @@
 	}
 	gossip.mutex.Unlock()
 	for _, load := range counts.GetLoads() {
-		load.Running += uint32(gossip.endpoints.Running(load.GetEndpoint()))
+		load.Running += uint32(gossip.endpoints.RunningAt(load.GetEndpoint()))
 	}
 	gossip.sendTo(from, &Datagram{Message: &Datagram_Counts{Counts: counts}})
 }
--- a/bvgossip/probe_test.go
+++ b/bvgossip/probe_test.go
@@ -16,8 +16,8 @@
 // busy are endpoints of one availability zone, with as many calls of this host at each.
 type busy int
 
-func (busy) ZoneOf(uint64) string    { return "z" }
-func (busy busy) Running(uint64) int { return int(busy) }
+func (busy) ZoneOf(uint64) string      { return "z" }
+func (busy busy) RunningAt(uint64) int { return int(busy) }
 
 // trackedBy returns a key that an asker takes a host for the tracker of.
 func trackedBy(t testing.TB, host, asker *host, of func(*trackers, uint64) (netip.AddrPort, bool)) uint64 {
--- a/bvgossip/totals_test.go
+++ b/bvgossip/totals_test.go
@@ -13,7 +13,7 @@
 type zoned struct{}
 
 func (zoned) ZoneOf(endpoint uint64) string { return []string{"z", "other"}[endpoint%2] }
-func (zoned) Running(uint64) int            { return 0 }
+func (zoned) RunningAt(uint64) int          { return 0 }
 
 // crowdOf makes a host that knows many others.
 func crowdOf(t *testing.T, clock bvclock.Clock) *host {
--- a/bvprocess/cluster_test.go
+++ b/bvprocess/cluster_test.go
@@ -132,7 +132,7 @@
 func (cluster *cluster) programOwnedBy(member, host string) string {
 	for i := 0; ; i++ {
 		program := fmt.Sprintf("program-%d", i)
-		if cluster.place(bventry.ProgramPlace(member, program)) == host {
+		if cluster.place(bventry.ProgramKey(member, program)) == host {
 			return program
 		}
 	}
--- a/bvquota/account.go
+++ b/bvquota/account.go
@@ -127,15 +127,15 @@
 	return count
 }
 
-func (account *account) use(now bvclock.Time, window bvclock.Duration) Use {
+func (account *account) use(now bvclock.Time, window bvclock.Duration) Usage {
 	account.own = account.ownRecent(now, window)
-	return Use{Workspace: HashWorkspace(account.cap.Workspace), Count: account.count, Recent: uint32(len(account.own))}
+	return Usage{Workspace: HashWorkspace(account.cap.Workspace), Count: account.count, Recent: uint32(len(account.own))}
 }
 
 // hear takes in what another host told, and for how long nothing had come from it beyond
 // what is usual. Of a host that is heard for the first time, only its last requests are
 // known not to be counted yet.
-func (account *account) hear(now bvclock.Time, share float64, host uint64, use Use, late bvclock.Duration) {
+func (account *account) hear(now bvclock.Time, share float64, host uint64, use Usage, late bvclock.Duration) {
 	before, known := account.told[host]
 	if !known {
 		before.count = use.Count - use.Recent
--- a/bvquota/bench_test.go
+++ b/bvquota/bench_test.go
@@ -27,10 +27,10 @@
 // BenchmarkClaim is what an allocator pays for a request of another host.
 func BenchmarkClaim(b *testing.B) {
 	limiter := newLimiter(bvclock.Boot(), manyCaps(1700)...)
-	use := Use{Workspace: HashWorkspace("workspace-7")}
+	use := Usage{Workspace: HashWorkspace("workspace-7")}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		limiter.Claim(uint64(i%730), use, Request{})
+		limiter.DecideClaim(uint64(i%730), use, Request{})
 	}
 }
 
@@ -39,14 +39,14 @@
 	for _, hosts := range []int{30, 100, 300, 730} {
 		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
 			limiter := newLimiter(bvclock.Boot(), manyCaps(1700)...)
-			uses := make([]Use, 20)
+			uses := make([]Usage, 20)
 			for j := range uses {
 				uses[j].Workspace = HashWorkspace(fmt.Sprintf("workspace-%d", j))
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				uses[i%20].Count++ // one request since the last digest
-				limiter.Hear(uint64(i%hosts), uses)
+				limiter.RecordUsage(uint64(i%hosts), uses)
 			}
 		})
 	}
--- a/bvquota/promise_test.go
+++ b/bvquota/promise_test.go
@@ -33,7 +33,7 @@
 type message struct {
 	to   int
 	from uint64
-	uses []Use
+	uses []Usage
 	at   bvclock.Time
 }
 
@@ -109,11 +109,11 @@
 	asker := network.hosts[index]
 	allocator := network.allocator(index)
 	if allocator == index {
-		return asker.limiter.TakeHere(Request{Workspace: network.cap.Workspace})
+		return asker.limiter.TakeAsAllocator(Request{Workspace: network.cap.Workspace})
 	}
-	decision := network.hosts[allocator].limiter.Claim(asker.id, asker.limiter.OwnUse(network.cap.Workspace), Request{})
+	decision := network.hosts[allocator].limiter.DecideClaim(asker.id, asker.limiter.OwnUsage(network.cap.Workspace), Request{})
 	if decision.Outcome == Granted {
-		asker.limiter.Granted(network.cap.Workspace)
+		asker.limiter.RecordGrant(network.cap.Workspace)
 	}
 	return decision
 }
@@ -131,7 +131,7 @@
 			continue
 		}
 		host.limiter.SetHosts(networkHosts, heard, networkLag)
-		uses := host.limiter.Uses()
+		uses := host.limiter.RecentUsage()
 		for to := range network.hosts {
 			if to != from && network.connected(from, to) && !lost() {
 				network.mail = append(network.mail, message{to, host.id, uses, network.clock.Now().Add(networkTell)})
@@ -158,14 +158,14 @@
 			later = append(later, message)
 			continue
 		}
-		host.limiter.Hear(message.from, message.uses)
+		host.limiter.RecordUsage(message.from, message.uses)
 	}
 	network.mail = later
 }
 
 // exceeded returns by how much a window holds more than the bounds allow.
 func (network *network) exceeded(limit Cap, since bvclock.Time) error {
-	most := (limit.Rate*seconds(bounds.Window)+limit.Burst)*(1+bounds.Over) + bounds.Slack
+	most := (limit.Rate*seconds(bounds.Window)+limit.Burst)*(1+bounds.OverRatio) + bounds.Slack
 	first := 0
 	for last, at := range network.ran {
 		for network.ran[first].Before(at.Add(-bounds.Window)) {
--- a/bvquota/quota.go
+++ b/bvquota/quota.go
@@ -9,18 +9,18 @@
 //
 // # Usage
 //
-//	limiter := bvquota.New(clock, bvquota.Bounds{Window: window, Over: 0.1, Slack: 20})
+//	limiter := bvquota.New(clock, bvquota.Bounds{Window: window, OverRatio: 0.1, Slack: 20})
 //	limiter.SetCaps(caps)
 //	decision := limiter.Take(bvquota.Request{Workspace: "piran"})
 //	switch decision.Outcome {
 //	case bvquota.Ask:
-//		// ask the allocator; its limiter answers with Claim
-//		limiter.Granted("piran")
+//		// ask the allocator; its limiter answers with DecideClaim
+//		limiter.RecordGrant("piran")
 //	case bvquota.Refused:
 //		// come back after decision.Wait
 //	}
-//	uses := limiter.Uses() // tell the other hosts
-//	limiter.Hear(host, uses)
+//	usages := limiter.RecentUsage() // send it to the other hosts
+//	limiter.RecordUsage(host, usages)
 //
 // # Invariants
 //
@@ -90,10 +90,10 @@
 
 // Bounds say how exactly caps must be kept.
 type Bounds struct {
-	Unused bool             // no host has run anything yet: buckets are full at the start
-	Window bvclock.Duration // over any such time, requests are compared with the cap
-	Over   float64          // share of the cap that may be run beyond it
-	Slack  float64          // requests that may be run beyond that
+	StartFull bool             // no host has run anything yet: buckets are full at the start
+	Window    bvclock.Duration // over any such time, requests are compared with the cap
+	OverRatio float64          // share of the cap that may be run beyond it
+	Slack     float64          // requests that may be run beyond that
 }
 
 // Outcome is what is decided on a request.
@@ -114,8 +114,8 @@
 	Wait bvclock.Duration
 }
 
-// Use is what a host tells of its requests of one workspace.
-type Use struct {
+// Usage is what a host tells of its requests of one workspace.
+type Usage struct {
 	Workspace uint32 // hash of its name
 	Count     uint32 // requests since the host's start; it wraps
 	Recent    uint32 // of those, the last ones, which others may not have heard of
@@ -180,7 +180,7 @@
 
 // start is what a bucket holds when this host starts.
 func (limiter *Limiter) start(limit Cap) float64 {
-	if limiter.bounds.Unused {
+	if limiter.bounds.StartFull {
 		return limiter.size(limit)
 	}
 	return startShare * limiter.slack(limit)
@@ -189,7 +189,7 @@
 // slack is how many requests may be run beyond a cap in a window.
 func (limiter *Limiter) slack(limit Cap) float64 {
 	whole := limit.Rate*seconds(limiter.bounds.Window) + limit.Burst
-	return limiter.bounds.Slack + limiter.bounds.Over*whole
+	return limiter.bounds.Slack + limiter.bounds.OverRatio*whole
 }
 
 // SetHosts takes over how many hosts are listed and heard, this one included, and
@@ -209,10 +209,10 @@
 	Workspace string
 	// Fresh marks the first request of a program. It is refused while the bucket holds
 	// little, since many more requests follow it.
-	Fresh bool
+	NewProgram bool
 	// Standby marks a request that the allocator of its workspace did not answer. What
 	// that one granted lately may not have been heard of, and is left over.
-	Standby bool
+	FromStandby bool
 }
 
 // Take decides on a request. A workspace without a cap is granted all.
@@ -224,7 +224,7 @@
 	if account == nil {
 		return Decision{}
 	}
-	needed := account.needed(request.Fresh, limiter.share)
+	needed := account.needed(request.NewProgram, limiter.share)
 	switch {
 	case limiter.hosts == 0 || limiter.justStarted(now, account):
 		return Decision{Outcome: Ask}
@@ -239,7 +239,7 @@
 
 // justStarted reports whether what the others have run is not known here yet.
 func (limiter *Limiter) justStarted(now bvclock.Time, account *account) bool {
-	return !limiter.bounds.Unused && now.Sub(account.since) < limiter.bounds.Window
+	return !limiter.bounds.StartFull && now.Sub(account.since) < limiter.bounds.Window
 }
 
 // mustAsk reports whether a bucket may hold less than this host knows: requests of
@@ -253,8 +253,8 @@
 	return float64(own) >= max(1, account.size/float64(limiter.hosts))
 }
 
-// Granted notes that the allocator granted a request of this host.
-func (limiter *Limiter) Granted(workspace string) {
+// RecordGrant notes that the allocator granted a request of this host.
+func (limiter *Limiter) RecordGrant(workspace string) {
 	now := limiter.clock.Now()
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
@@ -281,14 +281,14 @@
 	return account
 }
 
-// OwnUse returns what this host has run of a workspace, to go with a claim.
-func (limiter *Limiter) OwnUse(workspace string) Use {
+// OwnUsage returns what this host has run of a workspace, to go with a claim.
+func (limiter *Limiter) OwnUsage(workspace string) Usage {
 	now := limiter.clock.Now()
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
 	account := limiter.accounts[workspace]
 	if account == nil {
-		return Use{Workspace: HashWorkspace(workspace)}
+		return Usage{Workspace: HashWorkspace(workspace)}
 	}
 	return account.use(now, limiter.toldWindow())
 }
@@ -298,9 +298,9 @@
 	return max(leastTold, min(toldLags*limiter.lag, 2*limiter.bounds.Window))
 }
 
-// Claim decides, as the allocator, on a request of another host, which tells what it
+// DecideClaim decides, as the allocator, on a request of another host, which tells what it
 // has run so far.
-func (limiter *Limiter) Claim(host uint64, use Use, request Request) Decision {
+func (limiter *Limiter) DecideClaim(host uint64, use Usage, request Request) Decision {
 	now := limiter.clock.Now()
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
@@ -320,18 +320,18 @@
 // decide decides as an allocator; Ask leaves the request undecided. So does a standby that
 // may not have heard of the last grants.
 func (limiter *Limiter) decide(account *account, request Request) Decision {
-	needed := account.needed(request.Fresh, limiter.share)
+	needed := account.needed(request.NewProgram, limiter.share)
 	if account.available() < needed {
 		return limiter.lacking(account, needed)
 	}
-	if request.Standby && account.available() < needed+account.cap.Rate*seconds(limiter.lag) {
+	if request.FromStandby && account.available() < needed+account.cap.Rate*seconds(limiter.lag) {
 		return Decision{Outcome: Ask}
 	}
 	return Decision{Wait: account.hold(limiter.share)}
 }
 
-// TakeHere decides on a request of this host where it is the allocator itself.
-func (limiter *Limiter) TakeHere(request Request) Decision {
+// TakeAsAllocator decides on a request of this host where it is the allocator itself.
+func (limiter *Limiter) TakeAsAllocator(request Request) Decision {
 	now := limiter.clock.Now()
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
@@ -346,14 +346,14 @@
 	return decision
 }
 
-// Uses returns what this host has run lately, to be told to the others.
-func (limiter *Limiter) Uses() []Use {
+// RecentUsage returns what this host has run lately, to be told to the others.
+func (limiter *Limiter) RecentUsage() []Usage {
 	now := limiter.clock.Now()
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
 	limiter.tidy(now)
 	window := limiter.toldWindow()
-	var uses []Use
+	var uses []Usage
 	for _, account := range limiter.accounts {
 		if use := account.use(now, window); use.Recent > 0 {
 			uses = append(uses, use)
@@ -362,9 +362,9 @@
 	return uses
 }
 
-// Hear takes in what another host told; it is to be called for each digest, also for one
+// RecordUsage takes in what another host told; it is to be called for each digest, also for one
 // that tells of no request.
-func (limiter *Limiter) Hear(host uint64, uses []Use) {
+func (limiter *Limiter) RecordUsage(host uint64, uses []Usage) {
 	now := limiter.clock.Now()
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
--- a/bvquota/quota_test.go
+++ b/bvquota/quota_test.go
@@ -8,7 +8,7 @@
 	"balsamvalve.example/bvclock"
 )
 
-var bounds = Bounds{Window: 5 * bvclock.Second, Over: 0.1, Slack: 20}
+var bounds = Bounds{Window: 5 * bvclock.Second, OverRatio: 0.1, Slack: 20}
 
 // newLimiter returns a limiter whose buckets hold the burst and no more.
 func newLimiter(clock bvclock.Clock, caps ...Cap) *Limiter {
@@ -28,7 +28,7 @@
 // grants returns how many requests are granted without a wait.
 func grants(limiter *Limiter) int {
 	for count := 0; ; count++ {
-		if decision := limiter.TakeHere(Request{Workspace: "w"}); decision.Outcome != Granted || decision.Wait > 0 {
+		if decision := limiter.TakeAsAllocator(Request{Workspace: "w"}); decision.Outcome != Granted || decision.Wait > 0 {
 			return count
 		}
 	}
@@ -39,7 +39,7 @@
 	for range 1000 {
 		require.Equal(t, Granted, limiter.Take(Request{Workspace: "w"}).Outcome)
 	}
-	require.Empty(t, limiter.Uses())
+	require.Empty(t, limiter.RecentUsage())
 }
 
 func TestBurstIsGrantedAndNoMore(t *testing.T) {
@@ -74,7 +74,7 @@
 	fill(clock)
 	waits := []bvclock.Duration{}
 	for {
-		decision := limiter.TakeHere(Request{Workspace: "w"})
+		decision := limiter.TakeAsAllocator(Request{Workspace: "w"})
 		if decision.Outcome != Granted {
 			break
 		}
@@ -90,7 +90,7 @@
 func TestStartGrantsNoWholeBurst(t *testing.T) {
 	limiter := newBounded(&bvclock.Manual{}, bounds, Cap{"w", 1000, 1000})
 	granted := grants(limiter)
-	require.LessOrEqual(t, float64(granted), startShare*(bounds.Slack+bounds.Over*6000))
+	require.LessOrEqual(t, float64(granted), startShare*(bounds.Slack+bounds.OverRatio*6000))
 }
 
 func TestRequestsOfOtherHostsLeaveLess(t *testing.T) {
@@ -98,10 +98,10 @@
 	here, there := newLimiter(clock, Cap{"w", 1, 10}), newLimiter(clock, Cap{"w", 1, 10})
 	fill(clock)
 	for range 7 {
-		there.Granted("w")
+		there.RecordGrant("w")
 	}
-	here.Hear(1, there.Uses())
-	here.Hear(1, there.Uses()) // a datagram that came twice
+	here.RecordUsage(1, there.RecentUsage())
+	here.RecordUsage(1, there.RecentUsage()) // a datagram that came twice
 	granted := grants(here)
 	require.Equal(t, 3, granted)
 }
@@ -111,15 +111,15 @@
 	clock := &bvclock.Manual{}
 	here, there := newLimiter(clock, Cap{"w", 0.001, 10}), newLimiter(clock, Cap{"w", 0.001, 10})
 	fill(clock)
-	there.Granted("w")
-	here.Hear(1, there.Uses())
+	there.RecordGrant("w")
+	here.RecordUsage(1, there.RecentUsage())
 	for range 5 {
-		there.Granted("w")
+		there.RecordGrant("w")
 		clock.Advance(leastTold + 1)
-		there.Uses() // lost
+		there.RecentUsage() // lost
 	}
-	there.Granted("w")
-	here.Hear(1, there.Uses())
+	there.RecordGrant("w")
+	here.RecordUsage(1, there.RecentUsage())
 	granted := grants(here)
 	require.Equal(t, 3, granted)
 }
@@ -155,15 +155,15 @@
 	allocator, asker := newLimiter(clock, Cap{"w", 0.001, 10}), newLimiter(clock, Cap{"w", 0.001, 10})
 	fill(clock)
 	for range 4 {
-		require.Equal(t, Granted, allocator.Claim(1, asker.OwnUse("w"), Request{}).Outcome)
-		asker.Granted("w")
+		require.Equal(t, Granted, allocator.DecideClaim(1, asker.OwnUsage("w"), Request{}).Outcome)
+		asker.RecordGrant("w")
 	}
-	allocator.Hear(1, asker.Uses())
+	allocator.RecordUsage(1, asker.RecentUsage())
 	for range 6 {
-		require.Equal(t, Granted, allocator.Claim(1, asker.OwnUse("w"), Request{}).Outcome)
-		asker.Granted("w")
+		require.Equal(t, Granted, allocator.DecideClaim(1, asker.OwnUsage("w"), Request{}).Outcome)
+		asker.RecordGrant("w")
 	}
-	require.Equal(t, Refused, allocator.Claim(1, asker.OwnUse("w"), Request{}).Outcome)
+	require.Equal(t, Refused, allocator.DecideClaim(1, asker.OwnUsage("w"), Request{}).Outcome)
 }
 
 // Guards against a group of hosts that is cut off and takes a whole cap.
@@ -174,7 +174,7 @@
 	fill(clock)
 	granted := 0
 	for range 100 {
-		for limiter.TakeHere(Request{Workspace: "w"}).Outcome == Granted {
+		for limiter.TakeAsAllocator(Request{Workspace: "w"}).Outcome == Granted {
 			granted++
 		}
 		clock.Advance(100)
@@ -189,12 +189,12 @@
 	fill(clock)
 	first := newLimiter(clock, Cap{"w", 0.001, 10})
 	for range 4 {
-		first.Granted("w")
+		first.RecordGrant("w")
 	}
-	here.Hear(1, first.Uses())
+	here.RecordUsage(1, first.RecentUsage())
 	second := newLimiter(clock, Cap{"w", 0.001, 10})
-	second.Granted("w")
-	here.Hear(2, second.Uses())
+	second.RecordGrant("w")
+	here.RecordUsage(2, second.RecentUsage())
 	granted := grants(here)
 	require.Equal(t, 5, granted)
 }
@@ -214,20 +214,20 @@
 	limiter := newLimiter(clock, Cap{"w", 1, 5})
 	fill(clock)
 	for range 5 {
-		limiter.TakeHere(Request{Workspace: "w"})
+		limiter.TakeAsAllocator(Request{Workspace: "w"})
 	}
 	limiter.SetCaps([]Cap{{"w", 1, 5}})
-	require.Equal(t, Refused, limiter.TakeHere(Request{Workspace: "w"}).Outcome)
+	require.Equal(t, Refused, limiter.TakeAsAllocator(Request{Workspace: "w"}).Outcome)
 }
 
 func TestHostsOfLongAgoAreForgotten(t *testing.T) {
 	clock := &bvclock.Manual{}
 	here, there := newLimiter(clock, Cap{"w", 1, 5}), newLimiter(clock, Cap{"w", 1, 5})
-	there.Granted("w")
-	here.Hear(1, there.Uses())
+	there.RecordGrant("w")
+	here.RecordUsage(1, there.RecentUsage())
 	require.Len(t, here.accounts["w"].told, 1)
 	clock.Advance(2 * forgetAfter)
-	here.Uses()
+	here.RecentUsage()
 	require.Empty(t, here.accounts["w"].told)
 }
 
@@ -236,9 +236,9 @@
 	clock := &bvclock.Manual{}
 	limiter := newLimiter(clock, Cap{"w", 0.001, 20})
 	fill(clock)
-	for limiter.TakeHere(Request{Workspace: "w", Fresh: true}).Outcome == Granted {
+	for limiter.TakeAsAllocator(Request{Workspace: "w", NewProgram: true}).Outcome == Granted {
 	}
-	refused := limiter.Take(Request{Workspace: "w", Fresh: true})
+	refused := limiter.Take(Request{Workspace: "w", NewProgram: true})
 	require.Equal(t, Refused, refused.Outcome)
 	granted := grants(limiter)
 	require.InDelta(t, newShare*20, granted, 1)
@@ -250,7 +250,7 @@
 	limiter := newLimiter(clock, Cap{"w", 10, 10})
 	limiter.SetHosts(10, 1, 400*bvclock.Millisecond)
 	fill(clock)
-	require.Equal(t, Granted, limiter.TakeHere(Request{Workspace: "w", Fresh: true}).Outcome)
+	require.Equal(t, Granted, limiter.TakeAsAllocator(Request{Workspace: "w", NewProgram: true}).Outcome)
 }
 
 // Guards against a loss of all hosts after which each grants what is meant for all.
@@ -261,16 +261,16 @@
 	limiter.SetHosts(10, 1, 400*bvclock.Millisecond)
 	require.Zero(t, grants(limiter))
 	limiter.SetHosts(10, 10, 400*bvclock.Millisecond)
-	require.Equal(t, Granted, limiter.TakeHere(Request{Workspace: "w"}).Outcome)
+	require.Equal(t, Granted, limiter.TakeAsAllocator(Request{Workspace: "w"}).Outcome)
 }
 
 // Guards against refusals below the cap when the system starts for the first time.
 func TestBucketIsFullAtTheFirstStartOfAll(t *testing.T) {
 	first := bounds
-	first.Unused = true
+	first.StartFull = true
 	limiter := newBounded(&bvclock.Manual{}, first, Cap{"w", 10, 10})
 	for range 10 {
-		require.Equal(t, Granted, limiter.TakeHere(Request{Workspace: "w"}).Outcome)
+		require.Equal(t, Granted, limiter.TakeAsAllocator(Request{Workspace: "w"}).Outcome)
 	}
 }
 
@@ -282,13 +282,13 @@
 		limiter.SetHosts(2, 2, 400*bvclock.Millisecond)
 	}
 	fill(clock)
-	here.Hear(1, there.Uses())
+	here.RecordUsage(1, there.RecentUsage())
 	for range 50 {
 		clock.Advance(100)
-		there.Granted("w")
+		there.RecordGrant("w")
 	}
-	here.Hear(1, there.Uses())
-	require.Equal(t, Granted, here.TakeHere(Request{Workspace: "w"}).Outcome)
+	here.RecordUsage(1, there.RecentUsage())
+	require.Equal(t, Granted, here.TakeAsAllocator(Request{Workspace: "w"}).Outcome)
 }
 
 // Guards against a burst of others that is taken for one that was heard late.
@@ -297,12 +297,12 @@
 	here, there := newLimiter(clock, Cap{"w", 10, 10}), newLimiter(clock, Cap{"w", 10, 10})
 	for range 100 {
 		clock.Advance(100)
-		here.Hear(1, there.Uses()) // digests go on, without a request
+		here.RecordUsage(1, there.RecentUsage()) // digests go on, without a request
 	}
 	for range 10 {
-		there.Granted("w")
+		there.RecordGrant("w")
 	}
-	here.Hear(1, there.Uses())
+	here.RecordUsage(1, there.RecentUsage())
 	require.Zero(t, grants(here))
 }
 
@@ -311,7 +311,7 @@
 	clock := &bvclock.Manual{}
 	limiter := New(clock, bounds)
 	limiter.SetCaps([]Cap{{"w", 60, 60}})
-	pass := limiter.TakeHere(Request{Workspace: "w"})
+	pass := limiter.TakeAsAllocator(Request{Workspace: "w"})
 	require.GreaterOrEqual(t, pass.Wait, bvclock.Duration(0))
 	require.LessOrEqual(t, pass.Wait, mostWait+returnSpread)
 }
@@ -321,11 +321,11 @@
 	clock := &bvclock.Manual{}
 	limiter := newLimiter(clock, Cap{"w", 10, 10})
 	limiter.SetHosts(300, 300, 1800*bvclock.Millisecond)
-	limiter.Granted("w")
+	limiter.RecordGrant("w")
 	clock.Advance(1800)
-	require.Len(t, limiter.Uses(), 1)
+	require.Len(t, limiter.RecentUsage(), 1)
 	clock.Advance(2000)
-	require.Empty(t, limiter.Uses())
+	require.Empty(t, limiter.RecentUsage())
 }
 
 // Guards against a cap without a burst that grants nothing for ever.
@@ -361,7 +361,7 @@
 	allocator.SetHosts(2, 2, bvclock.Second)
 	fill(clock)
 	granted := 0
-	for allocator.Claim(1, asker.OwnUse("w"), Request{Standby: true}).Outcome == Granted {
+	for allocator.DecideClaim(1, asker.OwnUsage("w"), Request{FromStandby: true}).Outcome == Granted {
 		granted++
 	}
 	require.InDelta(t, 20-10, granted, 3)
@@ -371,8 +371,8 @@
 func TestHostThatHasJustStartedAsksBeforeItRefuses(t *testing.T) {
 	clock := &bvclock.Manual{}
 	limiter := newBounded(clock, bounds, Cap{"w", 12, 12})
-	require.Equal(t, Ask, limiter.Take(Request{Workspace: "w", Fresh: true}).Outcome)
-	for limiter.TakeHere(Request{Workspace: "w"}).Outcome == Granted {
+	require.Equal(t, Ask, limiter.Take(Request{Workspace: "w", NewProgram: true}).Outcome)
+	for limiter.TakeAsAllocator(Request{Workspace: "w"}).Outcome == Granted {
 	}
 	require.Equal(t, Ask, limiter.Take(Request{Workspace: "w"}).Outcome)
 }
@@ -383,35 +383,35 @@
 	limiter := newLimiter(clock, Cap{"w", 10, 20})
 	limiter.SetHosts(4, 4, 5*bvclock.Second)
 	fill(clock)
-	require.Equal(t, Ask, limiter.TakeHere(Request{Workspace: "w", Standby: true}).Outcome)
-	require.Equal(t, Ask, limiter.Claim(7, Use{Workspace: HashWorkspace("w")}, Request{Standby: true}).Outcome)
-	for limiter.TakeHere(Request{Workspace: "w"}).Outcome == Granted {
+	require.Equal(t, Ask, limiter.TakeAsAllocator(Request{Workspace: "w", FromStandby: true}).Outcome)
+	require.Equal(t, Ask, limiter.DecideClaim(7, Usage{Workspace: HashWorkspace("w")}, Request{FromStandby: true}).Outcome)
+	for limiter.TakeAsAllocator(Request{Workspace: "w"}).Outcome == Granted {
 	}
-	require.Equal(t, Refused, limiter.TakeHere(Request{Workspace: "w", Standby: true}).Outcome, "the bucket is empty")
+	require.Equal(t, Refused, limiter.TakeAsAllocator(Request{Workspace: "w", FromStandby: true}).Outcome, "the bucket is empty")
 }
 
 // Guards against a refusal for the cap by a host that knows no other one yet.
 func TestHostThatKnowsNoOtherYetLeavesRequestsUndecided(t *testing.T) {
 	clock := &bvclock.Manual{}
 	first := bounds
-	first.Unused = true
+	first.StartFull = true
 	limiter := New(clock, first)
 	limiter.SetCaps([]Cap{{"w", 12, 12}})
 	for _, fresh := range []bool{false, true} {
-		require.Equal(t, Ask, limiter.Take(Request{Workspace: "w", Fresh: fresh}).Outcome)
-		require.Equal(t, Ask, limiter.TakeHere(Request{Workspace: "w", Fresh: fresh}).Outcome)
-		require.Equal(t, Ask, limiter.Claim(7, Use{Workspace: HashWorkspace("w")}, Request{Fresh: fresh}).Outcome)
+		require.Equal(t, Ask, limiter.Take(Request{Workspace: "w", NewProgram: fresh}).Outcome)
+		require.Equal(t, Ask, limiter.TakeAsAllocator(Request{Workspace: "w", NewProgram: fresh}).Outcome)
+		require.Equal(t, Ask, limiter.DecideClaim(7, Usage{Workspace: HashWorkspace("w")}, Request{NewProgram: fresh}).Outcome)
 	}
 	limiter.SetHosts(4, 4, 100)
-	require.Equal(t, Granted, limiter.Take(Request{Workspace: "w", Fresh: true}).Outcome)
-	for limiter.TakeHere(Request{Workspace: "w"}).Outcome == Granted {
+	require.Equal(t, Granted, limiter.Take(Request{Workspace: "w", NewProgram: true}).Outcome)
+	for limiter.TakeAsAllocator(Request{Workspace: "w"}).Outcome == Granted {
 	}
-	require.Equal(t, Refused, limiter.TakeHere(Request{Workspace: "w"}).Outcome)
+	require.Equal(t, Refused, limiter.TakeAsAllocator(Request{Workspace: "w"}).Outcome)
 }
 
 // Guards against an allocator that refuses for a cap which a newer desired state has brought.
 func TestAllocatorThatLacksACapLeavesItUndecided(t *testing.T) {
 	limiter := newLimiter(&bvclock.Manual{})
-	decision := limiter.Claim(7, Use{Workspace: HashWorkspace("new")}, Request{})
+	decision := limiter.DecideClaim(7, Usage{Workspace: HashWorkspace("new")}, Request{})
 	require.Equal(t, Ask, decision.Outcome)
 }
--- a/bvroute/route.go
+++ b/bvroute/route.go
@@ -7,7 +7,7 @@
 //
 //	table, err := bvroute.NewTable(bvroute.Rows{Version: version, Routes: routes, Services: services, Limits: limits})
 //	route, found := table.Match("ficu95.example", "/lohu930/2f")
-//	service := route.Service(bvroute.Draw(programID))
+//	service := route.Service(bvroute.HashKey(programID))
 //
 // # Rules
 //
@@ -72,8 +72,8 @@
 	return ""
 }
 
-// Draw returns the draw of a key, such as a program's id: the same on every
+// HashKey returns the draw of a key, such as a program's id: the same on every
 // host, so that a program's turns stay with one service and its caches.
-func Draw(key string) uint64 {
+func HashKey(key string) uint64 {
 	return xxhash.Sum64String(key)
 }
--- a/bvroute/table.go
+++ b/bvroute/table.go
@@ -102,8 +102,8 @@
 	return table.workspaces.rows
 }
 
-// SharedKeys returns how many keys more than one workspace lists.
-func (table *Table) SharedKeys() int {
+// SharedKeyCount returns how many keys more than one workspace lists.
+func (table *Table) SharedKeyCount() int {
 	if table.workspaces == nil {
 		return 0
 	}
@@ -113,8 +113,8 @@
 // Limits returns the bounds of what a client may send.
 func (table *Table) Limits() Limits { return table.limits }
 
-// Routes returns how many routes there are.
-func (table *Table) Routes() int {
+// RouteCount returns how many routes there are.
+func (table *Table) RouteCount() int {
 	count := 0
 	for _, routes := range table.byHost {
 		count += len(routes)
--- a/bvroute/workspace.go
+++ b/bvroute/workspace.go
@@ -16,11 +16,11 @@
 	Priority *int    // rank of its requests; nil leaves it to the route
 }
 
-// Capped reports whether the workspace has a usage cap.
-func (workspace *Workspace) Capped() bool { return workspace.Rate > 0 }
+// HasCap reports whether the workspace has a usage cap.
+func (workspace *Workspace) HasCap() bool { return workspace.Rate > 0 }
 
-// Rank returns the priority of a request that the workspace sends on a route.
-func (workspace *Workspace) Rank(route *Route) int {
+// PriorityOn returns the priority of a request that the workspace sends on a route.
+func (workspace *Workspace) PriorityOn(route *Route) int {
 	if workspace == nil || workspace.Priority == nil {
 		return route.Priority
 	}
--- a/bvroute/workspace_test.go
+++ b/bvroute/workspace_test.go
@@ -42,7 +42,7 @@
 		Workspace{Name: "bor", Keys: []KeyDigest{DigestKey("a")}})
 	workspace, _ := table.WorkspaceByKey("a")
 	require.Equal(t, "ana", workspace.Name)
-	require.Equal(t, 1, table.SharedKeys())
+	require.Equal(t, 1, table.SharedKeyCount())
 }
 
 func TestTableWithoutWorkspacesNeedsNoKeys(t *testing.T) {
@@ -66,10 +66,10 @@
 func TestPriorityOfAWorkspaceGoesBeforeTheRoutes(t *testing.T) {
 	urgent := 0
 	route := &Route{Priority: 2}
-	require.Equal(t, 0, (&Workspace{Priority: &urgent}).Rank(route))
-	require.Equal(t, 2, (&Workspace{}).Rank(route))
+	require.Equal(t, 0, (&Workspace{Priority: &urgent}).PriorityOn(route))
+	require.Equal(t, 2, (&Workspace{}).PriorityOn(route))
 	var none *Workspace
-	require.Equal(t, 2, none.Rank(route))
+	require.Equal(t, 2, none.PriorityOn(route))
 }
 
 // Guards against keys in the clear between hosts.
--- a/bvrouter/endpoint_follow_test.go
+++ b/bvrouter/endpoint_follow_test.go
@@ -156,15 +156,15 @@
 	router.endpoints.update(1, first)
 	router.spreadEndpoints(router.endpoints.all())
 	for i := range int64(3) {
-		request := &bvdispatch.Request{Content: 7}
+		request := &bvdispatch.Request{ContentHash: 7}
 		chosen, found := router.dispatcher.Choose("apps", request)
 		require.True(t, found)
-		router.dispatcher.End("apps", chosen.ID(), request, bvdispatch.Result{Outcome: bvdispatch.Broken})
+		router.dispatcher.EndCall("apps", chosen.ID(), request, bvdispatch.Result{Outcome: bvdispatch.Broken})
 		update, changed := router.endpoints.update(1, start(i+2))
 		require.True(t, changed)
 		router.changeEndpoints(update)
 	}
-	require.True(t, router.dispatcher.Poisonous(7))
+	require.True(t, router.dispatcher.IsPoisonous(7))
 }
 
 // Guards against a compressor for each host that asks for the list of hosts.
--- a/bvrouter/follow.go
+++ b/bvrouter/follow.go
@@ -97,9 +97,9 @@
 		router.spreadEndpoints(router.endpoints.all())
 		router.endpointsMutex.Unlock()
 		router.log.WithFields(logrus.Fields{
-			"version": table.Version(), "routes": table.Routes(), "workspaces": len(table.Workspaces()),
+			"version": table.Version(), "routes": table.RouteCount(), "workspaces": len(table.Workspaces()),
 		}).Info("desired state in force")
-		if shared := table.SharedKeys(); shared > 0 {
+		if shared := table.SharedKeyCount(); shared > 0 {
 			router.log.WithField("keys", shared).Warn("keys are listed by several workspaces; the first one holds them")
 		}
 	}
--- a/bvrouter/gossip.go
+++ b/bvrouter/gossip.go
@@ -56,17 +56,17 @@
 	}
 	router.tellUses(digest)
 	digest.Programs = router.budgets.TakeReservedPrograms()
-	running, placed := router.dispatcher.Report()
+	running, placed := router.dispatcher.TakeLoadReport()
 	for endpoint, count := range running {
 		digest.Loads = append(digest.Loads, &bvgossip.Load{Endpoint: endpoint, Running: uint32(count)})
 	}
-	for endpoint, report := range router.dispatcher.UnsharedReports() {
+	for endpoint, report := range router.dispatcher.TakeOutcomeReports() {
 		digest.Outcomes = append(digest.Outcomes, &bvgossip.Outcome{
-			Endpoint: endpoint, Ended: uint32(report.Ended), Failed: uint32(report.Failed),
-			Paced: uint32(report.Paced), Pace: uint32(report.Pace),
+			Endpoint: endpoint, Ended: uint32(report.Calls), Failed: uint32(report.Failures),
+			Paced: uint32(report.PacedCalls), Pace: uint32(report.PaceMs),
 		})
 	}
-	for _, crash := range router.dispatcher.Crashes() {
+	for _, crash := range router.dispatcher.RecentCrashes() {
 		digest.Crashes = append(digest.Crashes, &bvgossip.Crash{Request: crash.Request, Endpoint: crash.Endpoint})
 	}
 	for _, placement := range placed {
@@ -160,7 +160,7 @@
 	}
 	handler.hearUses(digest)
 	for _, crash := range digest.GetCrashes() {
-		handler.dispatcher.LearnCrash(bvdispatch.Crash{Request: crash.GetRequest(), Endpoint: crash.GetEndpoint()})
+		handler.dispatcher.AddPeerCrash(bvdispatch.Crash{Request: crash.GetRequest(), Endpoint: crash.GetEndpoint()})
 	}
 	handler.budgets.AddHolder(digest.GetAddress(), digest.GetPrograms())
 }
@@ -174,14 +174,14 @@
 			Part:     bvroute.Part{Key: placement.GetPart(), Tokens: int(placement.GetTokens())},
 		})
 	}
-	handler.dispatcher.Place(placed)
-	seen := make(map[uint64]bvdispatch.Report, len(digest.GetOutcomes()))
+	handler.dispatcher.AddPeerPlacements(placed)
+	seen := make(map[uint64]bvdispatch.OutcomeReport, len(digest.GetOutcomes()))
 	for _, outcome := range digest.GetOutcomes() {
-		seen[outcome.GetEndpoint()] = bvdispatch.Report{
-			Ended: int(outcome.GetEnded()), Failed: int(outcome.GetFailed()), Paced: int(outcome.GetPaced()), Pace: int(outcome.GetPace()),
+		seen[outcome.GetEndpoint()] = bvdispatch.OutcomeReport{
+			Calls: int(outcome.GetEnded()), Failures: int(outcome.GetFailed()), PacedCalls: int(outcome.GetPaced()), PaceMs: int(outcome.GetPace()),
 		}
 	}
-	handler.dispatcher.Seen(seen)
+	handler.dispatcher.AddPeerReports(seen)
 }
 
 // maxHelpers is how many hosts are tried with one call to the store.
--- a/bvrouter/quota.go
+++ b/bvrouter/quota.go
@@ -27,12 +27,12 @@
 
 // claim asks the allocator of a workspace, or the next one where it is silent.
 func (quotas quotas) claim(request bvquota.Request) bvquota.Decision {
-	use := quotas.limiter.OwnUse(request.Workspace)
+	use := quotas.limiter.OwnUsage(request.Workspace)
 	allocators, firstLeftOut := quotas.gossip.Allocators(use.Workspace)
 	for i, allocator := range allocators {
-		request.Standby = firstLeftOut || i > 0
+		request.FromStandby = firstLeftOut || i > 0
 		if quotas.gossip.IsSelf(allocator) {
-			if decision := quotas.limiter.TakeHere(request); decision.Outcome != bvquota.Ask {
+			if decision := quotas.limiter.TakeAsAllocator(request); decision.Outcome != bvquota.Ask {
 				return decision
 			}
 			continue
@@ -40,14 +40,14 @@
 		quotas.counters.Add("quota_claims", 1)
 		claimed := quotas.gossip.SendClaim(allocator, &bvgossip.Claim{
 			Host: xxhash.Sum64String(quotas.incarnation), Workspace: use.Workspace, Count: use.Count, Recent: use.Recent,
-			Fresh: request.Fresh, Standby: request.Standby,
+			Fresh: request.NewProgram, Standby: request.FromStandby,
 		})
 		switch {
 		case claimed == nil:
 			quotas.counters.Add("quota_claims_unanswered", 1)
 		case claimed.GetUndecided():
 		case claimed.GetGranted():
-			quotas.limiter.Granted(request.Workspace)
+			quotas.limiter.RecordGrant(request.Workspace)
 			return bvquota.Decision{Wait: bvclock.Duration(claimed.GetWait())}
 		default:
 			return bvquota.Decision{Outcome: bvquota.Refused, Wait: bvclock.Duration(claimed.GetWait())}
@@ -58,9 +58,9 @@
 
 // DecideClaim implements bvgossip.Handler.
 func (handler peerHandler) DecideClaim(claim *bvgossip.Claim) *bvgossip.Claimed {
-	decision := handler.limiter.Claim(claim.GetHost(), bvquota.Use{
+	decision := handler.limiter.DecideClaim(claim.GetHost(), bvquota.Usage{
 		Workspace: claim.GetWorkspace(), Count: claim.GetCount(), Recent: claim.GetRecent(),
-	}, bvquota.Request{Fresh: claim.GetFresh(), Standby: claim.GetStandby()})
+	}, bvquota.Request{NewProgram: claim.GetFresh(), FromStandby: claim.GetStandby()})
 	return &bvgossip.Claimed{
 		Granted: decision.Outcome == bvquota.Granted, Undecided: decision.Outcome == bvquota.Ask, Wait: uint32(decision.Wait),
 	}
@@ -70,7 +70,7 @@
 func (router *Router) setCaps(table *bvroute.Table) {
 	var caps []bvquota.Cap
 	for _, workspace := range table.Workspaces() {
-		if workspace.Capped() {
+		if workspace.HasCap() {
 			caps = append(caps, bvquota.Cap{Workspace: workspace.Name, Rate: workspace.Rate, Burst: workspace.Burst})
 		}
 	}
@@ -87,7 +87,7 @@
 		router.gossip.SetSettled()
 		digest.Settled = true
 	}
-	for _, use := range router.limiter.Uses() {
+	for _, use := range router.limiter.RecentUsage() {
 		digest.UsedWorkspaces = append(digest.UsedWorkspaces, use.Workspace)
 		digest.UsedCounts = append(digest.UsedCounts, use.Count)
 		digest.UsedRecent = append(digest.UsedRecent, use.Recent)
@@ -100,9 +100,9 @@
 	if len(counts) != len(workspaces) || len(recent) != len(workspaces) {
 		return
 	}
-	uses := make([]bvquota.Use, len(workspaces))
+	uses := make([]bvquota.Usage, len(workspaces))
 	for i := range workspaces {
-		uses[i] = bvquota.Use{Workspace: workspaces[i], Count: counts[i], Recent: recent[i]}
+		uses[i] = bvquota.Usage{Workspace: workspaces[i], Count: counts[i], Recent: recent[i]}
 	}
-	handler.limiter.Hear(xxhash.Sum64String(digest.GetIncarnation()), uses)
+	handler.limiter.RecordUsage(xxhash.Sum64String(digest.GetIncarnation()), uses)
 }
--- a/bvrouter/router.go
+++ b/bvrouter/router.go
@@ -150,7 +150,7 @@
 		counters:    bvmeasure.New(),
 	}
 	router.limiter = bvquota.New(clock, bvquota.Bounds{
-		Unused: settings.FirstStart, Window: settings.QuotaWindow, Over: settings.QuotaOver, Slack: settings.QuotaSlack,
+		StartFull: settings.FirstStart, Window: settings.QuotaWindow, OverRatio: settings.QuotaOver, Slack: settings.QuotaSlack,
 	})
 	router.current.Store(&settings)
 	if err := router.listen(); err != nil {
@@ -169,7 +169,7 @@
 		router.budgets.SetGrantors(grantors{router})
 	}
 	router.budgets.SetLending(!settings.Without.Has(bvmechanism.Lending))
-	router.dispatcher.Without(settings.Without)
+	router.dispatcher.Disable(settings.Without)
 	router.histories = bvhistory.NewStore(router.store, peers{router}, settings.RowBytes, log)
 	router.front = bvfront.New(bvfront.Parts{
 		Clock:      clock,
--- a/bvtrace/trace_test.go
+++ b/bvtrace/trace_test.go
@@ -116,7 +116,7 @@
 	view.Update(0, []bvplatform.Host{{Name: "host-0"}, {Name: "host-1"}})
 	for i := 0; ; i++ {
 		program := fmt.Sprintf("program-%d", i)
-		if view.Candidates(0, bventry.ProgramPlace("piran", program))[0].Name == host {
+		if view.Candidates(0, bventry.ProgramKey("piran", program))[0].Name == host {
 			return program
 		}
 	}
