--- a/bvforward/connection.go
+++ b/bvforward/connection.go
@@ -16,17 +16,17 @@
 // time.
 type connection struct {
 	net.Conn
-	pool    *pool
-	head    *headReader
-	reader  *bufio.Reader
-	writer  *bufio.Writer
-	idleAt  bvclock.Time // since when it is idle
-	keep    bvclock.Duration
-	written atomic.Bool // the request has been written whole
+	pool           *pool
+	head           *headReader
+	reader         *bufio.Reader
+	writer         *bufio.Writer
+	idleSince      bvclock.Time // when it was returned to its pool
+	idleTimeout    bvclock.Duration
+	requestWritten atomic.Bool // the request was written completely
 }
 
-// bufferBytes is the size of each connection's two buffers. A request's head
-// fits in; larger buffers cost memory for each of some hundred connections.
+// bufferBytes is the size of each connection's two buffers. A request's head fits in;
+// larger buffers would cost memory on each of several hundred connections.
 const bufferBytes = 4 << 10
 
 func newConnection(conn net.Conn, pool *pool) *connection {
@@ -40,21 +40,23 @@
 	}
 }
 
-// mostHeadBytes bounds the head of an answer.
-const mostHeadBytes = 256 << 10
+// maxHeadBytes bounds the head of an answer.
+const maxHeadBytes = 256 << 10
 
 var errHeadTooLarge = errors.New("the answer's head is too large")
 
-// headReader bounds what is read while an answer's head is parsed, which the standard
-// library does not.
+// headReader limits the bytes read while an answer's head is parsed; http.ReadResponse
+// has no limit.
 type headReader struct {
 	source  io.Reader
 	bounded bool
 	left    int
 }
 
-// bound starts a head, or ends it.
-func (reader *headReader) bound(bounded bool) { reader.bounded, reader.left = bounded, mostHeadBytes }
+// setBounded turns the limit on before a head is parsed, and off after it.
+func (reader *headReader) setBounded(bounded bool) {
+	reader.bounded, reader.left = bounded, maxHeadBytes
+}
 
 // Read implements io.Reader.
 func (reader *headReader) Read(buffer []byte) (int, error) {
@@ -69,11 +71,11 @@
 	return count, err
 }
 
-// spent reports whether an idle connection can't be used any more: the
-// endpoint closed it, or sent bytes that belong to no request, such as a
-// second answer to the one before. Without this look, the next request would
-// be lost with the connection, or be given the stray answer.
-func (connection *connection) spent() bool {
+// isStale reports whether an idle connection can't be reused: the endpoint closed it,
+// or sent bytes that belong to no request, such as a second answer to the previous one.
+// Without this check, the next request would be lost with the connection, or would get
+// the stray answer.
+func (connection *connection) isStale() bool {
 	if connection.reader.Buffered() > 0 {
 		return true
 	}
@@ -85,12 +87,12 @@
 	if err != nil {
 		return true
 	}
-	quiet := false
+	empty := false
 	err = raw.Read(func(descriptor uintptr) bool {
 		var one [1]byte
 		_, _, err := unix.Recvfrom(int(descriptor), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = err == unix.EAGAIN
+		empty = err == unix.EAGAIN
 		return true
 	})
-	return err != nil || !quiet
+	return err != nil || !empty
 }
--- a/bvforward/pool.go
+++ b/bvforward/pool.go
@@ -1,19 +1,19 @@
-// Package bvforward sends one request to one endpoint over HTTP/1.1 and hands
-// back its answer. It never sends a request a second time by itself, and says
-// of each failure whether the request may have run.
+// Package bvforward sends a request to an endpoint over HTTP/1.1 and returns the
+// answer. It never resends a request, and each error states whether the request may
+// have run.
 //
-// The standard library's client repeats requests on its own when a kept
-// connection breaks, and takes whatever answer comes next as the answer. Both
-// are wrong here: some requests may run only once, and faulty endpoints send
-// late, second and unframed answers. So connections are kept here; parsing is
-// left to the standard library.
+// The standard library's client resends requests when a reused connection breaks, and
+// takes the next answer on the connection as the answer to its request. Both are wrong
+// here: some requests must run at most once, and faulty endpoints send late, second and
+// unframed answers. So this package pools connections itself and uses the standard
+// library only for parsing.
 //
 // # Usage
 //
 //	connections := &bvforward.Connections{Clock: clock, Wire: wire}
 //	response, err := connections.Send(ctx, request)
 //	if err != nil {
-//		// bvverdict.Of(err) says whether it may have run
+//		// bvverdict.Of(err) states whether it may have run
 //	}
 //	defer response.Close()
 //	_, err = io.Copy(writer, response.Body)
@@ -35,55 +35,55 @@
 )
 
 const (
-	// dialTimeout bounds the wait for a new connection. An opening packet that is
-	// dropped comes again after a second; another endpoint can have answered by then.
+	// dialTimeout bounds the wait for a new connection. A lost SYN is retransmitted
+	// after one second; another endpoint can have answered by then.
 	dialTimeout = 300 * bvclock.Millisecond
-	// unackedTimeout ends a connection whose bytes are not acknowledged: an
-	// endpoint without power or behind a cut sends no reset.
+	// unackedTimeout closes a connection whose bytes are not acknowledged: an endpoint
+	// that lost power or is behind a network partition sends no reset.
 	unackedTimeout = 1500 * bvclock.Millisecond
-	// defaultKeep is how long an idle connection is used again where the
-	// endpoint does not say how long it keeps it.
-	defaultKeep = 4 * bvclock.Second
-	// keepMargin is taken off the endpoint's own idle timeout, for the way
-	// and for timers that fire late.
-	keepMargin = 300 * bvclock.Millisecond
-	// maxIdle is the most idle connections kept to one endpoint, which bounds those of
-	// all hosts together.
+	// defaultIdleTimeout is how long an idle connection may be reused if the endpoint
+	// does not announce its own idle timeout.
+	defaultIdleTimeout = 4 * bvclock.Second
+	// idleTimeoutMargin is subtracted from the endpoint's idle timeout to allow for
+	// network latency and for timers that fire late.
+	idleTimeoutMargin = 300 * bvclock.Millisecond
+	// maxIdle is the maximum number of idle connections to one endpoint. It also bounds
+	// the idle connections that an endpoint has from all hosts together.
 	maxIdle = 6
 )
 
-// Wire reads what an endpoint says of its answer.
+// Wire parses the metadata that an endpoint sends with its answer.
 type Wire interface {
 	ReadAnswer(status int, header http.Header) bvroute.Answer
 }
 
-// Connections keeps the connections to all endpoints. Set Clock and Wire
-// before the first call; it is then safe for use by many goroutines.
+// Connections pools the connections to all endpoints. Set Clock and Wire before the
+// first call; it is then safe for concurrent use.
 type Connections struct {
 	Clock bvclock.Clock
 	Wire  Wire
 
-	mutex sync.Mutex
-	pools map[string]*pool // by endpoint ID
-	opens int64
+	mutex     sync.Mutex
+	pools     map[string]*pool // by endpoint ID
+	dialCount int64
 }
 
-// pool holds the idle connections to one endpoint, the last used at the end.
+// pool holds the idle connections to one endpoint, the most recently used one last.
 type pool struct {
 	connections *Connections
 	idle        []*connection
 	closed      bool
 }
 
-// Opened returns how many connections were opened so far.
+// Opened returns the number of connections opened so far.
 func (connections *Connections) Opened() int64 {
 	connections.mutex.Lock()
 	defer connections.mutex.Unlock()
-	return connections.opens
+	return connections.dialCount
 }
 
-// Retain closes the idle connections to all endpoints but the given ones. A
-// connection in use ends with its request.
+// Retain closes the idle connections to all endpoints except the given ones. A
+// connection in use is closed after its request.
 func (connections *Connections) Retain(ids map[string]bool) {
 	connections.mutex.Lock()
 	defer connections.mutex.Unlock()
@@ -105,7 +105,7 @@
 	}
 }
 
-// Expire closes connections that have been idle for too long.
+// Expire closes connections whose idle timeout has passed.
 func (connections *Connections) Expire() {
 	now := connections.Clock.Now()
 	connections.mutex.Lock()
@@ -123,7 +123,7 @@
 func (pool *pool) close() {
 	pool.closed = true
 	for _, idle := range pool.idle {
-		_ = idle.Close() // nothing is under way on it
+		_ = idle.Close() // no request is in flight on it
 	}
 	pool.idle = nil
 }
@@ -131,8 +131,8 @@
 func (pool *pool) expire(now bvclock.Time) {
 	kept := pool.idle[:0]
 	for _, idle := range pool.idle {
-		if idle.lapsed(now) {
-			_ = idle.Close() // nothing is under way on it
+		if idle.isExpired(now) {
+			_ = idle.Close() // no request is in flight on it
 			continue
 		}
 		kept = append(kept, idle)
@@ -141,26 +141,26 @@
 	pool.idle = kept
 }
 
-func (connection *connection) lapsed(now bvclock.Time) bool {
-	return now.Sub(connection.idleAt) > connection.keep-keepMargin
+func (connection *connection) isExpired(now bvclock.Time) bool {
+	return now.Sub(connection.idleSince) > connection.idleTimeout-idleTimeoutMargin
 }
 
-// take returns an idle connection that can still be used, or nil.
-func (connections *Connections) take(endpoint string) *connection {
+// takeIdle returns an idle connection that can be reused, or nil.
+func (connections *Connections) takeIdle(endpoint string) *connection {
 	now := connections.Clock.Now()
 	for {
-		idle := connections.pop(endpoint)
+		idle := connections.popIdle(endpoint)
 		if idle == nil {
 			return nil
 		}
-		if !idle.lapsed(now) && !idle.spent() {
+		if !idle.isExpired(now) && !idle.isStale() {
 			return idle
 		}
-		_ = idle.Close() // nothing is under way on it
+		_ = idle.Close() // no request is in flight on it
 	}
 }
 
-func (connections *Connections) pop(endpoint string) *connection {
+func (connections *Connections) popIdle(endpoint string) *connection {
 	connections.mutex.Lock()
 	defer connections.mutex.Unlock()
 	found := connections.poolOf(endpoint)
@@ -184,22 +184,21 @@
 	return found
 }
 
-// open dials the endpoint.
-func (connections *Connections) open(ctx context.Context, endpoint bvplatform.Endpoint) (*connection, error) {
-	dialer := net.Dialer{Timeout: dialTimeout.Std(), Control: setUnackedTimeout, KeepAliveConfig: probes}
+func (connections *Connections) dial(ctx context.Context, endpoint bvplatform.Endpoint) (*connection, error) {
+	dialer := net.Dialer{Timeout: dialTimeout.Std(), Control: setUnackedTimeout, KeepAliveConfig: keepAliveProbes}
 	conn, err := dialer.DialContext(ctx, "tcp", endpoint.Address)
 	if err != nil {
 		return nil, bvverdict.Refuse(bvverdict.EndpointFailed, "endpoint %s can't be reached", endpoint.Name).WithCause(err)
 	}
 	connections.mutex.Lock()
 	defer connections.mutex.Unlock()
-	connections.opens++
+	connections.dialCount++
 	return newConnection(conn, connections.poolOf(endpoint.ID())), nil
 }
 
-// probes find connections that went silent without a reset. Two seconds
-// without an answer end the call, where its deadline is later.
-var probes = net.KeepAliveConfig{Enable: true, Idle: bvclock.Second.Std(), Interval: bvclock.Second.Std(), Count: 2}
+// keepAliveProbes detect connections that fail without a reset. Two seconds without an
+// acknowledgement end the call, if its deadline is later than that.
+var keepAliveProbes = net.KeepAliveConfig{Enable: true, Idle: bvclock.Second.Std(), Interval: bvclock.Second.Std(), Count: 2}
 
 func setUnackedTimeout(_, _ string, raw syscall.RawConn) error {
 	var failed error
@@ -212,13 +211,13 @@
 	return failed
 }
 
-// put keeps a connection for the next request.
-func (connections *Connections) put(connection *connection) {
-	connection.idleAt = connections.Clock.Now()
+// putIdle adds a connection to its pool for the next request.
+func (connections *Connections) putIdle(connection *connection) {
+	connection.idleSince = connections.Clock.Now()
 	connections.mutex.Lock()
 	defer connections.mutex.Unlock()
 	if connection.pool.closed || len(connection.pool.idle) >= maxIdle {
-		_ = connection.Close() // nothing is under way on it
+		_ = connection.Close() // no request is in flight on it
 		return
 	}
 	connection.pool.idle = append(connection.pool.idle, connection)
--- a/bvforward/request.go
+++ b/bvforward/request.go
@@ -9,10 +9,10 @@
 	"balsamvalve.example/bvplatform"
 )
 
-// Request is one request for one endpoint.
+// Request is a request to an endpoint.
 type Request struct {
 	Endpoint bvplatform.Endpoint
-	ID       string // that the endpoint's answer bears
+	ID       string // repeated by the endpoint in its answer
 	Method   string
 	Target   string // path and query, exactly as the caller sent them
 	Host     string
@@ -20,8 +20,8 @@
 	Body     []byte
 }
 
-// hopByHop are the headers that concern one connection only (RFC 9110,
-// section 7.6.1), and those that are written from the body.
+// hopByHop lists the headers that apply to one connection only (RFC 9110,
+// section 7.6.1), and those that writeHead derives from the request.
 var hopByHop = map[string]bool{
 	"Connection":        true,
 	"Proxy-Connection":  true,
@@ -35,9 +35,9 @@
 	"Host":              true,
 }
 
-// DropHopByHop removes the headers that concern one connection only, and
-// those that the Connection header names, except for the protected ones: a
-// client must not make a forwarded header disappear by naming it there.
+// DropHopByHop removes the headers that apply to one connection only, and those named
+// in the Connection header except for protected ones: a client must not be able to
+// remove a forwarded header by naming it there.
 func DropHopByHop(header http.Header, named []string, protected func(name string) bool) {
 	for _, name := range named {
 		if !protected(name) {
@@ -49,15 +49,14 @@
 	}
 }
 
-// writeHead writes the request line and the headers. It writes what
-// http.Request.Write would, but for the target, which that parses and encodes
-// anew.
+// writeHead writes the request line and the headers like http.Request.Write, which
+// would parse and re-encode the target.
 func (request *Request) writeHead(writer *bufio.Writer) error {
 	_, _ = fmt.Fprintf(writer, "%s %s HTTP/1.1\r\nHost: %s\r\n", request.Method, request.Target, request.Host)
 	_ = request.Header.WriteSubset(writer, hopByHop)
 	if len(request.Body) > 0 || request.Method != http.MethodGet && request.Method != http.MethodHead {
 		_, _ = writer.WriteString("Content-Length: " + strconv.Itoa(len(request.Body)) + "\r\n")
 	}
-	_, err := writer.WriteString("\r\n") // a bufio.Writer keeps its first error
+	_, err := writer.WriteString("\r\n") // a bufio.Writer returns its first error again
 	return err
 }
--- a/bvforward/send.go
+++ b/bvforward/send.go
@@ -11,74 +11,74 @@
 )
 
 const (
-	// strayAnswers is the most answers to other requests that are skipped
-	// while waiting for the right one.
-	strayAnswers = 2
-	// strayBytes is the most that is read of such an answer.
-	strayBytes = 1 << 20
+	// maxStrayAnswers is the maximum number of answers to other requests that are
+	// skipped while waiting for the matching one.
+	maxStrayAnswers = 2
+	// maxStrayBytes is the maximum that is read of such an answer.
+	maxStrayBytes = 1 << 20
 )
 
-// Response is an endpoint's answer. Its body must be read to the end and then
-// closed, or closed early, which ends the endpoint's work.
+// Response is an endpoint's answer. Close must be called; calling it before the body is
+// read to its end closes the connection, which cancels the endpoint's work.
 type Response struct {
 	Status int
 	Header http.Header
 	Answer bvroute.Answer
-	Length int64 // of the body in bytes; -1: not said
-	// Framed is false for a body that ends with its connection, so that a
-	// lost connection can look like an end.
+	Length int64 // of the body in bytes; -1: unknown
+	// Framed is false for a body that ends when the connection closes, so that a broken
+	// connection can look like a complete body.
 	Framed bool
 	Body   io.Reader
 
 	connections *Connections
 	connection  *connection
-	whole       *wholeReader
+	eof         *eofReader
 	release     func() bool
 	reusable    bool
 }
 
-// wholeReader notes whether the body was read to its end.
-type wholeReader struct {
-	source io.Reader
-	ended  bool
+// eofReader records whether the body was read to its end.
+type eofReader struct {
+	source  io.Reader
+	reached bool
 }
 
-func (reader *wholeReader) Read(buffer []byte) (int, error) {
+func (reader *eofReader) Read(buffer []byte) (int, error) {
 	n, err := reader.source.Read(buffer)
 	if errors.Is(err, io.EOF) {
-		reader.ended = true
+		reader.reached = true
 	}
 	return n, err
 }
 
-// Send sends the request once and returns the head of its answer. The end of
-// ctx closes the connection, also while the body is read. The error is a
-// *bvverdict.Error that says whether the request may have run.
+// Send sends the request once and returns the answer when its head has been read.
+// Canceling ctx closes the connection, also while the body is read. The error is a
+// *bvverdict.Error that states whether the request may have run.
 func (connections *Connections) Send(ctx context.Context, request *Request) (*Response, error) {
-	connection := connections.take(request.Endpoint.ID())
+	connection := connections.takeIdle(request.Endpoint.ID())
 	if connection == nil {
-		opened, err := connections.open(ctx, request.Endpoint)
+		opened, err := connections.dial(ctx, request.Endpoint)
 		if err != nil {
 			return nil, err
 		}
 		connection = opened
 	}
 	release := context.AfterFunc(ctx, func() {
-		_ = connection.Close() // its error would be that it is closed already
+		_ = connection.Close() // fails only if it is already closed
 	})
 	response, err := connections.roundTrip(request, connection)
 	if err != nil {
 		release()
-		_ = connection.Close() // what failed is told in err
-		return nil, explain(ctx, err)
+		_ = connection.Close() // err already has the cause
+		return nil, wrapContextError(ctx, err)
 	}
 	response.release = release
 	return response, nil
 }
 
-// explain puts a canceled context in the place of the error that closing the
-// connection caused.
-func explain(ctx context.Context, err error) error {
+// wrapContextError replaces the error caused by closing the connection by one that
+// states that ctx was canceled or its deadline passed.
+func wrapContextError(ctx context.Context, err error) error {
 	cause := context.Cause(ctx)
 	if cause == nil {
 		return err
@@ -87,14 +87,14 @@
 	if errors.Is(cause, context.DeadlineExceeded) {
 		code = bvverdict.EndpointTimeout
 	}
-	return bvverdict.New(bvverdict.Of(err), code, "gave up waiting for the endpoint").WithCause(err)
+	return bvverdict.New(bvverdict.Of(err), code, "request canceled or timed out while waiting for the endpoint").WithCause(err)
 }
 
 func (connections *Connections) roundTrip(request *Request, connection *connection) (*Response, error) {
-	if err := connection.send(request); err != nil {
+	if err := connection.writeRequest(request); err != nil {
 		return nil, err
 	}
-	for range strayAnswers + 1 {
+	for range maxStrayAnswers + 1 {
 		response, err := connections.readAnswer(request, connection)
 		if err != nil {
 			return nil, err
@@ -102,7 +102,7 @@
 		if response.belongsTo(request) {
 			return response, nil
 		}
-		if _, err := io.CopyN(io.Discard, response.Body, strayBytes); !errors.Is(err, io.EOF) {
+		if _, err := io.CopyN(io.Discard, response.Body, maxStrayBytes); !errors.Is(err, io.EOF) {
 			break
 		}
 	}
@@ -110,8 +110,9 @@
 		"endpoint %s sent answers to other requests", request.Endpoint.Name)
 }
 
-// belongsTo compares the ids. A faulty endpoint sends a second answer late,
-// just where the next request's is expected; only the id tells them apart.
+// belongsTo reports whether the answer has the request's ID. A faulty endpoint may send
+// a late second answer where the next request's answer is expected; only the ID
+// distinguishes them.
 func (response *Response) belongsTo(request *Request) bool {
 	if response.Answer.ID == "" {
 		return response.Status >= http.StatusMultipleChoices
@@ -119,43 +120,43 @@
 	return response.Answer.ID == request.ID
 }
 
-// send writes the request. A body beyond the buffer is written beside the
-// wait for the answer: an endpoint may answer before it has read the body, and
-// a writer that waits for it would never see the answer.
-func (connection *connection) send(request *Request) error {
-	connection.written.Store(false)
+// writeRequest writes the request. A body larger than the buffer is written by another
+// goroutine: an endpoint may answer before it has read the body, and a blocked write
+// would keep that answer from being read.
+func (connection *connection) writeRequest(request *Request) error {
+	connection.requestWritten.Store(false)
 	if err := request.writeHead(connection.writer); err != nil {
-		return brokenSend(request, err)
+		return newSendError(request, err)
 	}
 	if len(request.Body) > connection.writer.Available() {
-		go connection.sendBody(request.Body)
+		go connection.writeBody(request.Body)
 		return nil
 	}
-	_, _ = connection.writer.Write(request.Body) // a bufio.Writer keeps its first error
+	_, _ = connection.writer.Write(request.Body) // a bufio.Writer returns its first error again
 	if err := connection.writer.Flush(); err != nil {
-		return brokenSend(request, err)
+		return newSendError(request, err)
 	}
-	connection.written.Store(true)
+	connection.requestWritten.Store(true)
 	return nil
 }
 
-func (connection *connection) sendBody(body []byte) {
+func (connection *connection) writeBody(body []byte) {
 	_, _ = connection.writer.Write(body)
 	if err := connection.writer.Flush(); err != nil {
-		return // the reader of the answer meets the same broken connection
+		return // reading the answer fails on the same connection
 	}
-	connection.written.Store(true)
+	connection.requestWritten.Store(true)
 }
 
-func brokenSend(request *Request, cause error) error {
+func newSendError(request *Request, cause error) error {
 	return bvverdict.New(bvverdict.MayHaveRun, bvverdict.EndpointFailed,
 		"connection to endpoint %s broke during the request", request.Endpoint.Name).WithCause(cause)
 }
 
-// readAnswer reads one answer's head; interim answers are skipped.
+// readAnswer reads the head of one answer. It skips interim (1xx) answers.
 func (connections *Connections) readAnswer(request *Request, connection *connection) (*Response, error) {
-	connection.head.bound(true)
-	defer connection.head.bound(false)
+	connection.head.setBounded(true)
+	defer connection.head.setBounded(false)
 	for {
 		parsed, err := http.ReadResponse(connection.reader, &http.Request{Method: request.Method})
 		if err != nil {
@@ -169,7 +170,7 @@
 }
 
 func (connections *Connections) newResponse(parsed *http.Response, connection *connection) *Response {
-	whole := &wholeReader{source: parsed.Body}
+	body := &eofReader{source: parsed.Body}
 	answer := connections.Wire.ReadAnswer(parsed.StatusCode, parsed.Header)
 	answer.ClosesConnection = parsed.Close
 	framed := parsed.ContentLength >= 0 || len(parsed.TransferEncoding) > 0
@@ -179,34 +180,34 @@
 		Answer:      answer,
 		Length:      parsed.ContentLength,
 		Framed:      framed,
-		Body:        whole,
+		Body:        body,
 		connections: connections,
 		connection:  connection,
-		whole:       whole,
+		eof:         body,
 		reusable:    framed && !parsed.Close,
 	}
 }
 
 // IsFullyRead reports whether the body was read to its end.
-func (response *Response) IsFullyRead() bool { return response.whole.ended }
+func (response *Response) IsFullyRead() bool { return response.eof.reached }
 
-// Close keeps the connection for the next request if the answer was read whole
-// and nothing follows it; otherwise it ends the connection.
+// Close returns the connection to its pool if the answer was read completely and no
+// bytes follow it; otherwise it closes the connection.
 func (response *Response) Close() {
 	released := response.release()
-	clean := response.whole.ended || response.Length == 0
-	if !released || !clean || !response.reusable || !response.connection.written.Load() || response.connection.reader.Buffered() > 0 {
-		_ = response.connection.Close() // nothing more is expected from it
+	clean := response.eof.reached || response.Length == 0
+	if !released || !clean || !response.reusable || !response.connection.requestWritten.Load() || response.connection.reader.Buffered() > 0 {
+		_ = response.connection.Close() // the connection can't be reused
 		return
 	}
-	response.connection.keep = response.Answer.KeepAlive
-	if response.connection.keep <= 0 {
-		response.connection.keep = defaultKeep
+	response.connection.idleTimeout = response.Answer.KeepAlive
+	if response.connection.idleTimeout <= 0 {
+		response.connection.idleTimeout = defaultIdleTimeout
 	}
-	response.connections.put(response.connection)
+	response.connections.putIdle(response.connection)
 }
 
-// Drain reads the rest of a short answer, so that its connection can be kept.
+// Drain reads the rest of a short answer, so that its connection can be reused.
 func (response *Response) Drain() {
-	_, _ = io.CopyN(io.Discard, response.Body, bufferBytes) // a longer rest costs the connection
+	_, _ = io.CopyN(io.Discard, response.Body, bufferBytes) // after a longer rest, Close closes the connection
 }
--- a/bvforward/send_test.go
+++ b/bvforward/send_test.go
@@ -20,22 +20,22 @@
 	"balsamvalve.example/bvverdict"
 )
 
-// plainWire names the request an answer belongs to in the header Id.
+// plainWire reads the request's ID from the header Id.
 type plainWire struct{}
 
 func (plainWire) ReadAnswer(_ int, header http.Header) bvroute.Answer {
 	return bvroute.Answer{ID: header.Get("Id"), NotRun: header.Get("Not-Run") != ""}
 }
 
-// endpoint is a TCP server whose behaviour a test writes itself.
+// endpoint is a TCP server whose behaviour each test defines.
 type endpoint struct {
 	listener net.Listener
 	dials    atomic.Int64
 	requests atomic.Int64
 }
 
-// newEndpoint serves each connection with the given function, which gets the
-// requests one by one.
+// newEndpoint calls serve for each request; the connection is closed when it returns
+// false.
 func newEndpoint(t *testing.T, serve func(conn net.Conn, request *http.Request, number int) (more bool)) *endpoint {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -48,13 +48,13 @@
 				return
 			}
 			endpoint.dials.Add(1)
-			go endpoint.connection(conn, serve)
+			go endpoint.serveConn(conn, serve)
 		}
 	}()
 	return endpoint
 }
 
-func (endpoint *endpoint) connection(conn net.Conn, serve func(net.Conn, *http.Request, int) bool) {
+func (endpoint *endpoint) serveConn(conn net.Conn, serve func(net.Conn, *http.Request, int) bool) {
 	defer func() { _ = conn.Close() }()
 	reader := bufio.NewReader(conn)
 	for {
@@ -79,7 +79,7 @@
 	}
 }
 
-func answerTo(conn net.Conn, id, body string) {
+func writeAnswer(conn net.Conn, id, body string) {
 	_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
@@ -102,7 +102,7 @@
 
 func TestConnectionIsUsedAgain(t *testing.T) {
 	server := newEndpoint(t, func(conn net.Conn, _ *http.Request, number int) bool {
-		answerTo(conn, fmt.Sprint(number), "body")
+		writeAnswer(conn, fmt.Sprint(number), "body")
 		return true
 	})
 	connections := newConnections()
@@ -114,13 +114,13 @@
 	require.EqualValues(t, 1, server.dials.Load())
 }
 
-// Guards against the late answer to another request on the same connection.
+// Guards against a late second answer that is taken for the next request's answer.
 func TestLateAnswerToAnotherRequestIsSkipped(t *testing.T) {
 	server := newEndpoint(t, func(conn net.Conn, _ *http.Request, number int) bool {
 		if number == 2 {
-			answerTo(conn, "1", "again")
+			writeAnswer(conn, "1", "again")
 		}
-		answerTo(conn, fmt.Sprint(number), fmt.Sprint("body", number))
+		writeAnswer(conn, fmt.Sprint(number), fmt.Sprint("body", number))
 		return true
 	})
 	connections := newConnections()
@@ -131,43 +131,43 @@
 	require.Equal(t, "body2", body)
 }
 
-// Guards against stray bytes after an answer that count for the next request.
-func TestBytesAfterAnAnswerSpendTheConnection(t *testing.T) {
+// Guards against stray bytes after an answer that are read as the next request's answer.
+func TestConnectionWithBytesAfterAnAnswerIsNotReused(t *testing.T) {
 	server := newEndpoint(t, func(conn net.Conn, _ *http.Request, number int) bool {
-		answerTo(conn, fmt.Sprint(number), "body")
+		writeAnswer(conn, fmt.Sprint(number), "body")
 		_, _ = io.WriteString(conn, "stray")
 		return true
 	})
 	connections := newConnections()
 	_, err := fetch(t, connections, server.request("1"))
 	require.NoError(t, err)
-	time.Sleep(20 * time.Millisecond) // until the stray bytes are there
+	time.Sleep(20 * time.Millisecond) // until the stray bytes have arrived
 	body, err := fetch(t, connections, server.request("2"))
 	require.NoError(t, err)
 	require.Equal(t, "body", body)
 	require.EqualValues(t, 2, server.dials.Load())
 }
 
-// Guards against a request that is lost on an idle connection which was closed.
+// Guards against a request that is lost on an idle connection that the endpoint has closed.
 func TestConnectionThatWasClosedIsNotUsed(t *testing.T) {
 	server := newEndpoint(t, func(conn net.Conn, _ *http.Request, number int) bool {
-		answerTo(conn, fmt.Sprint(number), "body")
+		writeAnswer(conn, fmt.Sprint(number), "body")
 		return false
 	})
 	connections := newConnections()
 	_, err := fetch(t, connections, server.request("1"))
 	require.NoError(t, err)
-	time.Sleep(20 * time.Millisecond) // until the close is there
+	time.Sleep(20 * time.Millisecond) // until the FIN has arrived
 	_, err = fetch(t, connections, server.request("2"))
 	require.NoError(t, err)
 	require.EqualValues(t, 2, server.dials.Load())
 }
 
-// Guards against a second send by a library when a connection breaks.
+// Guards against an HTTP library that resends a request when a reused connection breaks.
 func TestNothingIsSentTwiceWhenAConnectionBreaks(t *testing.T) {
 	server := newEndpoint(t, func(conn net.Conn, _ *http.Request, number int) bool {
 		if number == 1 {
-			answerTo(conn, "1", "body")
+			writeAnswer(conn, "1", "body")
 		}
 		return number == 1
 	})
@@ -186,10 +186,10 @@
 	require.Equal(t, bvverdict.NotRun, bvverdict.Of(err))
 }
 
-// Guards against a connection on which a body is still due.
-func TestEarlyAnswerToALongBodySpendsTheConnection(t *testing.T) {
+// Guards against reuse of a connection on which the request's body is still being written.
+func TestConnectionWithAnUnsentBodyIsNotReused(t *testing.T) {
 	server := newEndpoint(t, func(conn net.Conn, request *http.Request, number int) bool {
-		answerTo(conn, fmt.Sprint(number), "early")
+		writeAnswer(conn, fmt.Sprint(number), "early")
 		if number == 1 {
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -208,7 +208,7 @@
 	require.EqualValues(t, 2, server.dials.Load())
 }
 
-// An answer breaks off before its length. It must not look complete.
+// Guards against a truncated answer that looks complete.
 func TestAnswerThatBreaksOffIsAnError(t *testing.T) {
 	server := newEndpoint(t, func(conn net.Conn, _ *http.Request, _ int) bool {
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 10\r\n\r\nhalf")
@@ -227,7 +227,7 @@
 	require.Equal(t, bvverdict.MayHaveRun, bvverdict.Of(err))
 }
 
-// Guards against an endpoint that works on for a caller who has gone.
+// Guards against an endpoint that keeps working after its caller has disconnected.
 func TestCallerThatLeavesEndsTheEndpointsWork(t *testing.T) {
 	closed := make(chan error, 1)
 	server := newEndpoint(t, func(conn net.Conn, _ *http.Request, _ int) bool {
@@ -249,7 +249,7 @@
 
 func TestIdleConnectionsAreBoundedAndLapse(t *testing.T) {
 	server := newEndpoint(t, func(conn net.Conn, _ *http.Request, _ int) bool {
-		answerTo(conn, "1", "")
+		writeAnswer(conn, "1", "")
 		return true
 	})
 	clock := &bvclock.Manual{}
@@ -264,7 +264,7 @@
 		response.Close()
 	}
 	require.Len(t, connections.pools[server.request("1").Endpoint.ID()].idle, maxIdle)
-	clock.Advance(defaultKeep)
+	clock.Advance(defaultIdleTimeout)
 	connections.Expire()
 	require.Empty(t, connections.pools[server.request("1").Endpoint.ID()].idle)
 }
@@ -274,7 +274,7 @@
 	server := newEndpoint(t, func(conn net.Conn, request *http.Request, _ int) bool {
 		body, _ := io.ReadAll(request.Body)
 		got <- request.Method + " " + request.RequestURI + " " + request.Host + " " + string(body)
-		answerTo(conn, "1", "")
+		writeAnswer(conn, "1", "")
 		return true
 	})
 	request := server.request("1")
@@ -290,8 +290,8 @@
 	require.Equal(t, http.Header{"Id": {"7"}, "Kept": {"1"}}, header)
 }
 
-// Guards against an endpoint whose answer's head never ends and takes the host's memory.
-func TestEndlessHeadIsGivenUp(t *testing.T) {
+// Guards against an endless head of an answer, which would exhaust the host's memory.
+func TestEndlessHeadIsAborted(t *testing.T) {
 	sent := make(chan int, 1)
 	endpoint := newEndpoint(t, func(conn net.Conn, _ *http.Request, _ int) bool {
 		total, _ := io.WriteString(conn, "HTTP/1.1 200 OK\r\nX: ")
@@ -308,13 +308,13 @@
 	_, err := connections.Send(t.Context(), endpoint.request("a"))
 	require.ErrorIs(t, err, errHeadTooLarge)
 	require.Equal(t, bvverdict.MayHaveRun, bvverdict.Of(err))
-	<-sent // its connection is closed
+	<-sent // the connection was closed
 }
 
-// Guards against a bound on heads that cuts off a body.
+// Guards against a body that is truncated by the bound on heads.
 func TestLongBodyPassesTheBoundOnHeads(t *testing.T) {
 	endpoint := newEndpoint(t, func(conn net.Conn, _ *http.Request, _ int) bool {
-		_, err := fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: %d\r\n\r\n%s", 2*mostHeadBytes, strings.Repeat("x", 2*mostHeadBytes))
+		_, err := fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: %d\r\n\r\n%s", 2*maxHeadBytes, strings.Repeat("x", 2*maxHeadBytes))
 		return err == nil
 	})
 	connections := &Connections{Clock: bvclock.Boot(), Wire: plainWire{}}
@@ -323,5 +323,5 @@
 	defer response.Close()
 	count, err := io.Copy(io.Discard, response.Body)
 	require.NoError(t, err)
-	require.EqualValues(t, 2*mostHeadBytes, count)
+	require.EqualValues(t, 2*maxHeadBytes, count)
 }
