--- a/bvdispatch/admission.go
+++ b/bvdispatch/admission.go
@@ -5,75 +5,75 @@
 	"balsamvalve.example/bvmechanism"
 )
 
-// Admission of new programs, for a crowd that is larger than the engines can serve in
-// time. Calls that crowd each other take longer, so that more are under way at once and
-// the crowding outlasts the crowd. A program is turned away before its first turn, when
-// nothing is lost yet; programs under way go on.
+// Admission control for new programs, for load beyond what the engines can serve in time.
+// Calls slow each other down, so more of them are in flight at once and the overload
+// outlasts the surge that caused it. A program is rejected before its first turn, when no
+// work is lost yet; programs that have started continue.
 const (
-	// fullShare is how many calls there may be, as a share of the engines'
-	// places, before new programs of the less urgent routes are turned away. A few
-	// more than there are places wait little longer than for their prompts to be read.
-	fullShare = 1.2
-	// urgentShare is added for the most urgent routes, whose programs then
-	// find room that less urgent ones have left.
-	urgentShare = 0.10
-	// leastReturn and mostReturn bound the time after which a refused caller
-	// should come back. It is drawn at random between them, so that a crowd does not
-	// return as one.
-	leastReturn = 300 * bvclock.Millisecond
-	mostReturn  = 900 * bvclock.Millisecond
+	// maxLoadShare is the number of calls, as a share of the engines' slots, from which
+	// new programs of the less urgent routes are rejected. A few calls beyond the slots
+	// wait little longer than their prompts take to be read.
+	maxLoadShare = 1.2
+	// urgentExtraShare is added to the limit for the most urgent routes, which reserves
+	// capacity for their programs.
+	urgentExtraShare = 0.10
+	// minRetryAfter and maxRetryAfter bound the time after which a rejected caller should
+	// retry. It is drawn at random between them, so that rejected callers do not all
+	// retry at once.
+	minRetryAfter = 300 * bvclock.Millisecond
+	maxRetryAfter = 900 * bvclock.Millisecond
 )
 
-// NewProgram is a program that may begin.
+// NewProgram is a program that asks for admission.
 type NewProgram struct {
 	Priority  int
 	Workspace string // "": of none
 }
 
 // Admit reports whether a new program may begin. If not, it returns the time after
-// which to come back.
-func (pool *Pool) Admit(now bvclock.Time, newcomer NewProgram) (bvclock.Duration, bool) {
-	if pool.without.Has(bvmechanism.Admission) || pool.share(now) < pool.limit(now, newcomer) {
-		if newcomer.Workspace != "" {
-			pool.begun.add(now, newcomer.Workspace)
+// which the caller should retry.
+func (pool *Pool) Admit(now bvclock.Time, program NewProgram) (bvclock.Duration, bool) {
+	if pool.disabled.Has(bvmechanism.Admission) || pool.loadShare(now) < pool.admissionLimit(now, program) {
+		if program.Workspace != "" {
+			pool.startedPrograms.add(now, program.Workspace)
 		}
 		return 0, true
 	}
-	return leastReturn + bvclock.Duration(pool.random.Int64N(int64(mostReturn-leastReturn))), false
+	return minRetryAfter + bvclock.Duration(pool.random.Int64N(int64(maxRetryAfter-minRetryAfter))), false
 }
 
-// limit is the share of places from which on a newcomer is turned away.
-func (pool *Pool) limit(now bvclock.Time, newcomer NewProgram) float64 {
-	limit := fullShare
-	if newcomer.Priority == 0 {
-		limit += urgentShare
+// admissionLimit returns the load share from which a new program is rejected.
+func (pool *Pool) admissionLimit(now bvclock.Time, program NewProgram) float64 {
+	limit := maxLoadShare
+	if program.Priority == 0 {
+		limit += urgentExtraShare
 	}
-	if newcomer.Workspace == "" || pool.without.Has(bvmechanism.Fairness) {
+	if program.Workspace == "" || pool.disabled.Has(bvmechanism.Fairness) {
 		return limit
 	}
-	if dominant, found := pool.begun.dominant(now); found && dominant != newcomer.Workspace {
-		limit += othersShare
+	if dominant, found := pool.startedPrograms.dominant(now); found && dominant != program.Workspace {
+		limit += othersExtraShare
 	}
 	return limit
 }
 
-// share is the share of all places that are taken, at endpoints that may get
-// new calls. A pool without any is not full: what it can't serve is refused
-// when an endpoint is chosen. Of many endpoints, a sample tells enough.
-func (pool *Pool) share(now bvclock.Time) float64 {
+// loadShare returns the number of calls as a share of the slots of all endpoints that
+// accept new calls. It is 0 where there is none: calls that can't be served are refused
+// when an endpoint is chosen. With many endpoints, it is estimated from a sample.
+func (pool *Pool) loadShare(now bvclock.Time) float64 {
 	load, slots := 0.0, 0.0
 	add := func(row *endpoint) {
-		if row.open(now) {
+		if row.isOpen(now) {
 			load += row.load(now)
 			slots += row.slots()
 		}
 	}
-	if len(pool.rows) <= shareRows {
+	if len(pool.rows) <= loadSampleRows {
 		for _, row := range pool.rows {
 			add(row)
 		}
 	} else {
-		for range shareRows {
+		for range loadSampleRows {
 			add(pool.rows[pool.random.IntN(len(pool.rows))])
 		}
 	}
--- a/bvdispatch/affinity.go
+++ b/bvdispatch/affinity.go
@@ -6,76 +6,75 @@
 	"balsamvalve.example/bvmechanism"
 )
 
-// Where conversations that begin alike meet.
+// Affinity of conversations that share a prefix.
 //
-// Prompts of a kind begin with one of some long parts. Where an engine's memory
-// holds only a few of these beside its running calls, and calls are spread
-// evenly, each beginning is read again and again. So all hosts order the
-// endpoints by the beginning, in the same way and without a word between them,
-// and a new conversation goes to one that is early in the order unless that is
-// much more loaded.
+// Prompts of a kind share one of a few long prefixes, each the first part of the prompt.
+// Where an engine's memory holds only a few of these beside its running calls, and calls
+// are spread evenly, engines evict each prefix and read it again. So all hosts rank the
+// endpoints for a prefix by rendezvous hashing, which needs no messages between them, and
+// a new conversation goes to an endpoint of low rank unless that is much more loaded.
 const (
-	// fullAffinityWeight is the most that the place in the order counts, in
-	// milliseconds: some times what reading a beginning takes, as a call that goes
-	// elsewhere also drives another beginning out of that engine's memory.
-	fullAffinityWeight = 600
-	// scarceFrom and scarceTo bound the share of an endpoint's memory that all
-	// beginnings seen here together take, between which the order counts more and
-	// more. A host sees only some of them.
-	// Under the first, each endpoint can hold all of them.
-	scarceFrom = 0.30
-	scarceTo   = 0.50
-	// beginningKept is how long a beginning counts after its last use.
-	beginningKept = 20 * bvclock.Second
+	// maxAffinityWeightMs is the largest cost of a rendezvous rank: a multiple of the
+	// time that an engine takes to read a prefix, since a call that goes elsewhere also
+	// evicts another prefix from that engine's memory.
+	maxAffinityWeightMs = 600
+	// affinityRampStart and affinityRampEnd are the bounds between which the weight of
+	// the rank grows from zero to its maximum. They are shares of an endpoint's memory
+	// that all prefixes seen by this host would take together; other hosts see more
+	// prefixes. Below the first bound, each endpoint can hold all of them.
+	affinityRampStart = 0.30
+	affinityRampEnd   = 0.50
+	// prefixRetention is how long a prefix counts after its last use.
+	prefixRetention = 20 * bvclock.Second
 )
 
-// beginning is what is known of a prompt's first part.
-type beginning struct {
+// prefixUse is the size and the last use of a prompt's first part.
+type prefixUse struct {
 	tokens int
 	usedAt bvclock.Time
 }
 
-// noteBeginning counts a prompt's first part as in use.
-func (pool *Pool) noteBeginning(now bvclock.Time, request *Request) {
+// recordPrefix records the use of a prompt's first part.
+func (pool *Pool) recordPrefix(now bvclock.Time, request *Request) {
 	if len(request.Prefix) == 0 {
 		return
 	}
 	first := request.Prefix[0]
-	known, found := pool.beginnings[first.Key]
-	pool.beginningTokens += first.Tokens - known.tokens
-	pool.beginnings[first.Key] = beginning{tokens: first.Tokens, usedAt: now}
+	previous, found := pool.prefixes[first.Key]
+	pool.prefixTokens += first.Tokens - previous.tokens
+	pool.prefixes[first.Key] = prefixUse{tokens: first.Tokens, usedAt: now}
 	if !found {
-		pool.dropBeginnings(now)
+		pool.dropIdlePrefixes(now)
 	}
 }
 
-// dropBeginnings forgets those that were not used for a while.
-func (pool *Pool) dropBeginnings(now bvclock.Time) {
-	for key, known := range pool.beginnings {
-		if now.Sub(known.usedAt) > beginningKept {
-			pool.beginningTokens -= known.tokens
-			delete(pool.beginnings, key)
+// dropIdlePrefixes removes prefixes that were not used within prefixRetention.
+func (pool *Pool) dropIdlePrefixes(now bvclock.Time) {
+	for key, use := range pool.prefixes {
+		if now.Sub(use.usedAt) > prefixRetention {
+			pool.prefixTokens -= use.tokens
+			delete(pool.prefixes, key)
 		}
 	}
 }
 
-// affinityWeight is what the order counts at an endpoint, by how scarce its memory
-// is.
+// affinityWeight returns the cost of the highest rendezvous rank at an endpoint, in
+// milliseconds. It grows as the endpoint's memory gets scarcer.
 func (pool *Pool) affinityWeight(row *endpoint) float64 {
-	if row.entry.CacheTokens <= 0 || pool.without.Has(bvmechanism.Affinity) {
+	if row.entry.CacheTokens <= 0 || pool.disabled.Has(bvmechanism.Affinity) {
 		return 0
 	}
-	share := float64(pool.beginningTokens) / float64(row.entry.CacheTokens)
-	return fullAffinityWeight * min(max((share-scarceFrom)/(scarceTo-scarceFrom), 0), 1)
+	memoryShare := float64(pool.prefixTokens) / float64(row.entry.CacheTokens)
+	return maxAffinityWeightMs * min(max((memoryShare-affinityRampStart)/(affinityRampEnd-affinityRampStart), 0), 1)
 }
 
-// affinity is the endpoint's place in the order of the prompt's first part, from 0
-// for the first to 1 for the last.
-func (endpoint *endpoint) affinity(request *Request) float64 {
-	return endpoint.place(request.Prefix[0].Key)
+// affinityRank returns the endpoint's rendezvous rank for the prompt's first part, from 0
+// for the most preferred to 1 for the least preferred.
+func (endpoint *endpoint) affinityRank(request *Request) float64 {
+	return endpoint.rendezvousRank(request.Prefix[0].Key)
 }
 
-// place is the endpoint's place in the order of a key, from 0 to 1.
-func (endpoint *endpoint) place(key uint64) float64 {
+// rendezvousRank returns the endpoint's rank for a key, from 0 to 1.
+func (endpoint *endpoint) rendezvousRank(key uint64) float64 {
 	return float64(bvhost.Weight(endpoint.hash, key)>>11) / (1 << 53)
 }
--- a/bvdispatch/affinity_test.go
+++ b/bvdispatch/affinity_test.go
@@ -8,44 +8,45 @@
 	"balsamvalve.example/bvclock"
 )
 
-// Guards against long common beginnings that every engine reads again and again.
-func TestPromptsThatBeginAlikeMeetAtFewEndpoints(t *testing.T) {
-	const beginnings, calls = 16, 900
+// Guards against long common prefixes that every engine reads again and again: spread
+// evenly, they evict each other from the engines' memory.
+func TestPromptsWithACommonPrefixGoToFewEndpoints(t *testing.T) {
+	const prefixes, calls = 16, 900
 	pool := newTestPool(45)
 	for i := range pool.rows {
 		pool.rows[i].entry.Slots = 12
 		pool.rows[i].entry.CacheTokens = 233_774
 	}
-	places := make(map[uint64]map[string]bool)
-	var under []string
+	endpointsByPrefix := make(map[uint64]map[string]bool)
+	var inFlight []string
 	for i := range uint64(calls) {
-		request := prompt(1+i%beginnings, 1000+i)
+		request := prompt(1+i%prefixes, 1000+i)
 		request.Prefix[0].Tokens, request.PromptTokens = 12_600, 17_600
 		chosen, _ := pool.Choose(0, request)
 		pool.BeginCall(0, chosen.Name, request)
-		if places[i%beginnings] == nil {
-			places[i%beginnings] = make(map[string]bool)
+		if endpointsByPrefix[i%prefixes] == nil {
+			endpointsByPrefix[i%prefixes] = make(map[string]bool)
 		}
-		places[i%beginnings][chosen.Name] = true
-		if under = append(under, chosen.Name); len(under) > 270 {
-			pool.EndCall(0, under[0], Result{Outcome: Served, Duration: 350})
-			under = under[1:]
+		endpointsByPrefix[i%prefixes][chosen.Name] = true
+		if inFlight = append(inFlight, chosen.Name); len(inFlight) > 270 {
+			pool.EndCall(0, inFlight[0], Result{Outcome: Served, Duration: 350})
+			inFlight = inFlight[1:]
 		}
 	}
 	total := 0
-	for _, endpoints := range places {
+	for _, endpoints := range endpointsByPrefix {
 		total += len(endpoints)
 	}
-	require.Less(t, total/beginnings, 15, "endpoints that a beginning was sent to, of 45")
+	require.Less(t, total/prefixes, 15, "endpoints that a prefix was sent to, of 45")
 }
 
-// Guards against hosts that send what begins alike to different engines.
-func TestHostsAgreeOnTheOrder(t *testing.T) {
+// Guards against hosts that send prompts with a common prefix to different engines.
+func TestHostsAgreeOnTheRendezvousOrder(t *testing.T) {
 	here, there := NewPool(1, ""), NewPool(2, "")
 	for _, pool := range []*Pool{here, there} {
 		pool.SetEndpoints(engines(10))
-		for key := range uint64(80) { // beginnings that fill an engine's memory
-			pool.noteBeginning(0, prompt(key))
+		for key := range uint64(80) { // prefixes that fill an engine's memory
+			pool.recordPrefix(0, prompt(key))
 		}
 	}
 	for key := range uint64(20) {
@@ -55,21 +56,22 @@
 	}
 }
 
-// Guards against gathering prompts where each engine's memory holds all beginnings.
-func TestOrderDoesNotCountWhereMemoryIsPlenty(t *testing.T) {
+// Guards against gathering prompts on few engines where the memory of each holds all
+// prefixes.
+func TestAffinityIsOffWhereMemoryHoldsAllPrefixes(t *testing.T) {
 	pool := NewPool(1, "near")
 	listed := engines(10)
 	listed[7].Zone = "near"
 	pool.SetEndpoints(listed)
 	for key := range uint64(20) {
-		pool.noteBeginning(0, prompt(key))
+		pool.recordPrefix(0, prompt(key))
 		chosen, _ := pool.Choose(0, prompt(key, 100))
 		require.Equal(t, "e7", chosen.Name)
 	}
 }
 
-// Guards against calls for one object that spread over endpoints which don't have it at hand.
-func TestCallsForOneObjectMeet(t *testing.T) {
+// Guards against calls for one object that spread over endpoints which don't have it cached.
+func TestCallsForOneObjectGoToOneEndpoint(t *testing.T) {
 	here, there := newTestPool(6), NewPool(2, "")
 	there.SetEndpoints(engines(6))
 	used, same := make(map[string]bool), 0
@@ -85,13 +87,13 @@
 	require.Equal(t, 60, same)
 }
 
-func TestBeginningsAreForgotten(t *testing.T) {
+func TestIdlePrefixesAreDropped(t *testing.T) {
 	pool := newTestPool(1)
 	for key := range uint64(80) {
-		pool.noteBeginning(0, prompt(key))
+		pool.recordPrefix(0, prompt(key))
 	}
 	require.Positive(t, pool.affinityWeight(pool.rows[0]))
-	pool.noteBeginning(bvclock.Time(beginningKept)+1, prompt(500))
-	require.Equal(t, 5000, pool.beginningTokens)
+	pool.recordPrefix(bvclock.Time(prefixRetention)+1, prompt(500))
+	require.Equal(t, 5000, pool.prefixTokens)
 	require.Zero(t, pool.affinityWeight(pool.rows[0]))
 }
--- a/bvdispatch/bench_test.go
+++ b/bvdispatch/bench_test.go
@@ -7,7 +7,7 @@
 	"balsamvalve.example/bvplatform"
 )
 
-// BenchmarkChoose is the cost of one decision, by the number of endpoints.
+// BenchmarkChoose measures the cost of one decision, by the number of endpoints.
 func BenchmarkChoose(b *testing.B) {
 	for _, count := range []int{12, 48, 400, 4200, 10_000, 20_000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
@@ -28,7 +28,7 @@
 	}
 }
 
-// BenchmarkShortlist is the cost of drawing up a short list, by the number of endpoints.
+// BenchmarkShortlist measures the cost of drawing up a shortlist, by the number of endpoints.
 func BenchmarkShortlist(b *testing.B) {
 	for _, count := range []int{128, 4200, 20_000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
--- a/bvdispatch/cache.go
+++ b/bvdispatch/cache.go
@@ -7,79 +7,81 @@
 	"balsamvalve.example/bvroute"
 )
 
-// cache estimates which parts of prompts an endpoint has, from what the hosts
-// sent there. The least recently used parts yield, as at the endpoint. The zero
-// value is empty.
+// cache estimates which parts of prompts an endpoint has cached, from the prompts that
+// hosts sent there. It evicts the least recently used parts, as the endpoint does. The
+// zero value is empty.
 type cache struct {
 	parts  *simplelru.LRU[uint64, int] // tokens by key
 	tokens int
 }
 
-// cacheShare is the part of an endpoint's memory that this estimate fills: the
-// rest holds what running calls generate.
+// cacheShare is the share of an endpoint's memory that the estimate fills: the rest holds
+// the tokens that running calls generate.
 const cacheShare = 0.8
 
-// unboundedParts stands for no bound: the bound is in tokens.
+// unboundedParts is the capacity of the LRU list in parts. The cache is bounded in tokens
+// instead.
 const unboundedParts = 1 << 30
 
-// use notes a prompt that is sent, and returns the parts that are new there.
-func (cache *cache) use(prefix []bvroute.Part, room int) []bvroute.Part {
+// recordPrompt records a prompt that is sent to the endpoint, and returns the parts that
+// are new there.
+func (cache *cache) recordPrompt(prefix []bvroute.Part, capacity int) []bvroute.Part {
 	if cache.parts == nil {
 		cache.parts, _ = simplelru.NewLRU(unboundedParts, func(_ uint64, tokens int) { cache.tokens -= tokens })
 	}
 	var added []bvroute.Part
-	for i := len(prefix) - 1; i >= 0; i-- { // the first parts are wanted longest
+	for i := len(prefix) - 1; i >= 0; i-- { // the first parts must be evicted last
 		if cache.touch(prefix[i]) {
 			added = append(added, prefix[i])
 		}
 	}
-	limit := int(float64(room) * cacheShare)
+	limit := int(float64(capacity) * cacheShare)
 	for cache.tokens > limit && cache.parts.Len() > 0 {
 		cache.parts.RemoveOldest()
 	}
 	return added
 }
 
-// touch notes the use of a part; it reports whether there is more of it now.
+// touch records the use of a part and reports whether it is new or has grown.
 func (cache *cache) touch(part bvroute.Part) bool {
-	had, found := cache.parts.Get(part.Key)
-	if found && had >= part.Tokens {
+	cachedTokens, found := cache.parts.Get(part.Key)
+	if found && cachedTokens >= part.Tokens {
 		return false
 	}
-	cache.tokens += part.Tokens - had
-	cache.parts.Add(part.Key, part.Tokens) // replacing calls no eviction
+	cache.tokens += part.Tokens - cachedTokens
+	cache.parts.Add(part.Key, part.Tokens) // replacing a part does not call the eviction callback
 	return true
 }
 
-// cached returns how many tokens at the start of a prompt the endpoint has. A
-// part counts only if all parts before it are there.
-func (cache *cache) cached(prefix []bvroute.Part) int {
+// cachedTokens returns how many tokens at the start of a prompt the endpoint has cached. A
+// part counts only if all parts before it are cached.
+func (cache *cache) cachedTokens(prefix []bvroute.Part) int {
 	if cache.parts == nil {
 		return 0
 	}
 	tokens := 0
 	for _, part := range prefix {
-		had, found := cache.parts.Peek(part.Key)
+		cachedTokens, found := cache.parts.Peek(part.Key)
 		if !found {
 			break
 		}
-		tokens += min(part.Tokens, had)
+		tokens += min(part.Tokens, cachedTokens)
 	}
 	return tokens
 }
 
-// noteHeld takes in where the turn before ran. The next one comes some tens of
-// milliseconds later, through any host, and digests take longer: without this, turns
-// go to engines that have nothing of the conversation and read it all again.
-func (pool *Pool) noteHeld(request *Request) {
+// recordHeldPrefix records where the previous turn ran. The next turn arrives some tens of
+// milliseconds later, through any host, and digests take longer: without this record,
+// turns go to engines that have none of the conversation cached and must read all of it.
+func (pool *Pool) recordHeldPrefix(request *Request) {
 	row := pool.byHash[request.HeldPrefix.Endpoint]
-	if row != nil && !pool.without.Has(bvmechanism.Held) {
-		row.cache.use(head(request.Prefix, request.HeldPrefix.Tokens), row.entry.CacheTokens)
+	if row != nil && !pool.disabled.Has(bvmechanism.Held) {
+		row.cache.recordPrompt(truncatePrefix(request.Prefix, request.HeldPrefix.Tokens), row.entry.CacheTokens)
 	}
 }
 
-// head returns the parts that begin a prompt, up to a number of tokens.
-func head(prefix []bvroute.Part, tokens int) []bvroute.Part {
+// truncatePrefix returns the first parts of a prompt, up to a number of tokens.
+func truncatePrefix(prefix []bvroute.Part, tokens int) []bvroute.Part {
 	var parts []bvroute.Part
 	for _, part := range prefix {
 		part.Tokens = min(part.Tokens, tokens)
--- a/bvdispatch/candidate.go
+++ b/bvdispatch/candidate.go
@@ -6,145 +6,147 @@
 	"balsamvalve.example/bvclock"
 )
 
-// A decision that compares all endpoints costs the more the larger the fleet is. Beyond
-// scannedRows it looks at those that are likely to be good: the one that has the
-// conversation, the first ones in the order of the prompt's first part or of the object,
-// those that this host has just used, and some drawn at random.
+// The cost of comparing all endpoints grows with the fleet. Beyond maxScannedRows
+// endpoints, a decision compares only likely candidates: the endpoint that has the
+// conversation cached, those of the lowest rendezvous rank for the prompt's first part or
+// the object, those that this host has used most recently, and a random sample.
 const (
-	scannedRows = 512
-	// drawnNear and drawnAll are how many are drawn of this availability zone and of
-	// all; a sample of this size holds idle endpoints unless nearly all are full.
-	drawnNear = 64
-	drawnAll  = 64
-	// orderRows is how many of the first ones in an order are looked at.
-	orderRows = 8
-	// recentRows is how many endpoints are remembered as just used.
-	recentRows = 32
-	// shareRows is how many endpoints the share of all places that are taken is
-	// estimated from.
-	shareRows = 512
+	maxScannedRows = 512
+	// zoneSampleSize and fleetSampleSize are the numbers of endpoints drawn from this
+	// availability zone and from all; a sample of this size contains idle endpoints
+	// unless nearly all are full.
+	zoneSampleSize  = 64
+	fleetSampleSize = 64
+	// rendezvousRows is how many endpoints of the lowest rank for a key are candidates.
+	rendezvousRows = 8
+	// maxRecentRows is how many recently used endpoints are candidates.
+	maxRecentRows = 32
+	// loadSampleRows is the size of the sample from which the load share is estimated.
+	loadSampleRows = 512
 )
 
 const (
-	// connectionCost is what a new connection takes, in milliseconds. A host has one
-	// to each endpoint of a short list, and spreads its calls over all of them.
-	connectionCost = 2
-	// connectionKept is how long after a call its connection is likely to be there.
-	connectionKept = 4 * bvclock.Second
+	// connectionCostMs is the time to open a new connection. It does not count on a list
+	// of up to maxScannedRows: there a host keeps a connection to each endpoint and
+	// spreads its calls over all of them.
+	connectionCostMs = 2
+	// connectionLifetime is how long after a call its connection is likely to be open.
+	connectionLifetime = 4 * bvclock.Second
 )
 
-// candidates returns the endpoints that a decision looks at. The result is valid until
+// candidates returns the endpoints that a decision compares. The result is valid until
 // the next call.
 func (pool *Pool) candidates(request *Request) []*endpoint {
-	if len(pool.rows) <= scannedRows {
+	if len(pool.rows) <= maxScannedRows {
 		return pool.rows
 	}
-	pool.drawing++
-	pool.drawn = pool.drawn[:0]
-	pool.draw(pool.byHash[request.HeldPrefix.Endpoint])
+	pool.candidateRound++
+	pool.candidateRows = pool.candidateRows[:0]
+	pool.addCandidates(pool.byHash[request.HeldPrefix.Endpoint])
 	for endpoint := range request.PeerCalls {
-		pool.draw(pool.byHash[endpoint])
+		pool.addCandidates(pool.byHash[endpoint])
 	}
 	if request.Object != 0 {
-		pool.draw(pool.first(request.Object)...)
+		pool.addCandidates(pool.firstInOrder(request.Object)...)
 	}
 	if len(request.Prefix) > 0 {
-		pool.draw(pool.first(request.Prefix[0].Key)...)
+		pool.addCandidates(pool.firstInOrder(request.Prefix[0].Key)...)
 	}
-	pool.draw(pool.recent...)
-	near := pool.nearRows()
-	for range min(drawnNear, len(near)) {
-		pool.draw(near[pool.random.IntN(len(near))])
+	pool.addCandidates(pool.recent...)
+	zoneRows := pool.rowsInZone()
+	for range min(zoneSampleSize, len(zoneRows)) {
+		pool.addCandidates(zoneRows[pool.random.IntN(len(zoneRows))])
 	}
-	for range drawnAll {
-		pool.draw(pool.rows[pool.random.IntN(len(pool.rows))])
+	for range fleetSampleSize {
+		pool.addCandidates(pool.rows[pool.random.IntN(len(pool.rows))])
 	}
-	return pool.drawn
+	return pool.candidateRows
 }
 
-// draw adds endpoints to the candidates, each once.
-func (pool *Pool) draw(rows ...*endpoint) {
+// addCandidates adds endpoints to the candidates, each once; it skips nil.
+func (pool *Pool) addCandidates(rows ...*endpoint) {
 	for _, row := range rows {
-		if row != nil && row.drawnIn != pool.drawing {
-			row.drawnIn = pool.drawing
-			pool.drawn = append(pool.drawn, row)
+		if row != nil && row.lastRound != pool.candidateRound {
+			row.lastRound = pool.candidateRound
+			pool.candidateRows = append(pool.candidateRows, row)
 		}
 	}
 }
 
-// nearRows returns the endpoints of this host's availability zone.
-func (pool *Pool) nearRows() []*endpoint {
-	if pool.nearOf != pool.changes {
-		pool.nearOf, pool.near = pool.changes, pool.near[:0]
+// rowsInZone returns the endpoints in this host's availability zone.
+func (pool *Pool) rowsInZone() []*endpoint {
+	if pool.zoneRowsRevision != pool.revision {
+		pool.zoneRowsRevision, pool.zoneRows = pool.revision, pool.zoneRows[:0]
 		for _, row := range pool.rows {
 			if row.entry.Zone == pool.zone {
-				pool.near = append(pool.near, row)
+				pool.zoneRows = append(pool.zoneRows, row)
 			}
 		}
 	}
-	return pool.near
+	return pool.zoneRows
 }
 
-// orders remembers the first endpoints in the orders of some keys.
-type orders struct {
-	of   int // changes of the list that they are of
-	rows map[uint64][]*endpoint
+// orderCache caches the endpoints of the lowest rank for some keys.
+type orderCache struct {
+	revision int // of the list of endpoints
+	rows     map[uint64][]*endpoint
 }
 
-// mostOrders bounds the orders that are remembered: prompts of a kind begin with one of
-// few parts, while objects are many.
-const mostOrders = 64
+// maxCachedOrders bounds the cached orders: prompts of a kind share a few prefixes, but
+// there are many objects.
+const maxCachedOrders = 64
 
-// first returns the first endpoints in a key's order.
-func (pool *Pool) first(key uint64) []*endpoint {
-	if pool.orders.of != pool.changes || len(pool.orders.rows) >= mostOrders {
-		pool.orders = orders{of: pool.changes, rows: make(map[uint64][]*endpoint)}
+// firstInOrder returns the endpoints of the lowest rendezvous rank for a key.
+func (pool *Pool) firstInOrder(key uint64) []*endpoint {
+	if pool.orders.revision != pool.revision || len(pool.orders.rows) >= maxCachedOrders {
+		pool.orders = orderCache{revision: pool.revision, rows: make(map[uint64][]*endpoint)}
 	}
 	if rows, found := pool.orders.rows[key]; found {
 		return rows
 	}
-	type placed struct {
-		row   *endpoint
-		place float64
+	type rankedRow struct {
+		row  *endpoint
+		rank float64
 	}
-	best := make([]placed, 0, orderRows+1)
+	best := make([]rankedRow, 0, rendezvousRows+1)
 	for _, row := range pool.rows {
-		place := row.place(key)
-		if len(best) == orderRows && place >= best[orderRows-1].place {
+		rank := row.rendezvousRank(key)
+		if len(best) == rendezvousRows && rank >= best[rendezvousRows-1].rank {
 			continue
 		}
-		at, _ := slices.BinarySearchFunc(best, place, func(other placed, place float64) int {
-			if other.place < place {
+		at, _ := slices.BinarySearchFunc(best, rank, func(other rankedRow, rank float64) int {
+			if other.rank < rank {
 				return -1
 			}
 			return 1
 		})
-		best = slices.Insert(best, at, placed{row, place})
-		best = best[:min(len(best), orderRows)]
+		best = slices.Insert(best, at, rankedRow{row, rank})
+		best = best[:min(len(best), rendezvousRows)]
 	}
 	rows := make([]*endpoint, len(best))
-	for i, placed := range best {
-		rows[i] = placed.row
+	for i, ranked := range best {
+		rows[i] = ranked.row
 	}
 	pool.orders.rows[key] = rows
 	return rows
 }
 
-// noteRecent remembers that this host calls an endpoint.
-func (pool *Pool) noteRecent(row *endpoint) {
+// recordRecent records that this host calls an endpoint.
+func (pool *Pool) recordRecent(row *endpoint) {
 	if at := slices.Index(pool.recent, row); at >= 0 {
 		pool.recent = slices.Delete(pool.recent, at, at+1)
 	}
 	pool.recent = append(pool.recent, row)
-	if len(pool.recent) > recentRows {
+	if len(pool.recent) > maxRecentRows {
 		pool.recent = slices.Delete(pool.recent, 0, 1)
 	}
 }
 
-// listChanged drops what was worked out from the list. Gone is no longer on it.
-func (pool *Pool) listChanged(gone *endpoint) {
-	pool.changes++
-	if at := slices.Index(pool.recent, gone); at >= 0 {
+// invalidateCaches invalidates values derived from the list of endpoints and drops a
+// removed endpoint, if any, from the recently used ones.
+func (pool *Pool) invalidateCaches(removed *endpoint) {
+	pool.revision++
+	if at := slices.Index(pool.recent, removed); at >= 0 {
 		pool.recent = slices.Delete(pool.recent, at, at+1)
 	}
 }
--- a/bvdispatch/candidate_test.go
+++ b/bvdispatch/candidate_test.go
@@ -11,7 +11,7 @@
 	"balsamvalve.example/bvplatform"
 )
 
-// manyEngines are the engines of a fleet of six availability zones.
+// manyEngines returns the engines of a fleet in six availability zones.
 func manyEngines(count int) []bvplatform.Endpoint {
 	listed := make([]bvplatform.Endpoint, count)
 	for i := range listed {
@@ -21,7 +21,7 @@
 }
 
 // Guards against decisions whose cost grows with the fleet.
-func TestDecisionLooksAtFewOfManyEndpoints(t *testing.T) {
+func TestDecisionComparesFewOfManyEndpoints(t *testing.T) {
 	for _, count := range []int{2000, 20_000} {
 		pool := NewPool(1, "z1")
 		pool.SetEndpoints(manyEngines(count))
@@ -29,11 +29,11 @@
 		chosen, found := pool.Choose(0, request)
 		require.True(t, found)
 		pool.BeginCall(0, chosen.ID(), request)
-		require.LessOrEqual(t, len(pool.candidates(request)), drawnNear+drawnAll+orderRows+recentRows)
+		require.LessOrEqual(t, len(pool.candidates(request)), zoneSampleSize+fleetSampleSize+rendezvousRows+maxRecentRows)
 	}
 }
 
-// Guards against a conversation that leaves its engine because the engine is not drawn.
+// Guards against a conversation that moves because its engine is not among the candidates.
 func TestConversationStaysAtItsEngineAmongMany(t *testing.T) {
 	pool := NewPool(1, "z1")
 	listed := manyEngines(8000)
@@ -49,7 +49,7 @@
 	}
 }
 
-// Guards against calls that crowd at one engine of a fleet that is nearly idle.
+// Guards against calls that pile up at one engine of a fleet that is nearly idle.
 func TestCallsOfManyHostsSpreadOverAFleet(t *testing.T) {
 	const hosts, seconds = 200, 10
 	listed := manyEngines(1600)
@@ -64,7 +64,7 @@
 		host int
 		name string
 	}
-	var under []call // way, each for half a second
+	var inFlight []call // each for half a second
 	for step := range seconds * 200 {
 		now := bvclock.Time(1000 + 5*step)
 		host := random.IntN(hosts)
@@ -75,15 +75,15 @@
 		pools[host].BeginCall(now, chosen.ID(), request)
 		running[chosen.Name]++
 		most = max(most, running[chosen.Name])
-		under = append(under, call{host, chosen.ID()})
-		if len(under) > 100 {
-			ended := under[0]
-			under = under[1:]
+		inFlight = append(inFlight, call{host, chosen.ID()})
+		if len(inFlight) > 100 {
+			ended := inFlight[0]
+			inFlight = inFlight[1:]
 			running[ended.name]--
 			pools[ended.host].EndCall(now, ended.name, Result{Outcome: Served, Duration: 500})
 		}
 	}
-	require.LessOrEqual(t, most, 6, "no engine has more calls than places")
+	require.LessOrEqual(t, most, 6, "no engine has more calls than slots")
 }
 
 // Guards against a new connection for each call where many endpoints are idle.
@@ -96,7 +96,7 @@
 		request := &Request{}
 		chosen, found := pool.Choose(now, request)
 		require.True(t, found)
-		if last, found := lastCall[chosen.ID()]; !found || now.Sub(last) > connectionKept {
+		if last, found := lastCall[chosen.ID()]; !found || now.Sub(last) > connectionLifetime {
 			opened++
 		}
 		pool.BeginCall(now, chosen.ID(), request)
@@ -106,7 +106,7 @@
 	require.LessOrEqual(t, opened, 10)
 }
 
-// Guards against an endpoint that is chosen after it has left a long list.
+// Guards against an endpoint that is chosen after it was removed from a long list.
 func TestEndpointThatLeftALongListIsNotChosen(t *testing.T) {
 	pool := NewPool(1, "z1")
 	pool.SetEndpoints(manyEngines(2000))
--- a/bvdispatch/change_test.go
+++ b/bvdispatch/change_test.go
@@ -13,9 +13,9 @@
 	"balsamvalve.example/bvplatform"
 )
 
-// indexed returns all that a dispatcher's pools know, by service, and checks that the
+// endpointsByService returns the endpoints of a dispatcher's pools, and checks that the
 // indexes of each pool agree.
-func indexed(t require.TestingT, dispatcher *Dispatcher) map[string][]bvplatform.Endpoint {
+func endpointsByService(t require.TestingT, dispatcher *Dispatcher) map[string][]bvplatform.Endpoint {
 	services := make(map[string][]bvplatform.Endpoint)
 	for service, pool := range dispatcher.pools {
 		require.Len(t, pool.byName, len(pool.rows))
@@ -30,7 +30,7 @@
 	return services
 }
 
-// Compares a list that is followed by its changes with one that is taken over whole.
+// Compares a list that is updated by changes with one that is set as a whole.
 func TestChangesLeadToTheSamePoolsAsTheWholeList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		followed := NewDispatcher(&bvclock.Manual{}, 1, "z")
@@ -49,14 +49,14 @@
 			listed[name] = entry
 			followed.ChangeEndpoints([]bvplatform.Endpoint{entry}, nil)
 		}
-		whole := NewDispatcher(&bvclock.Manual{}, 1, "z")
-		whole.SetEndpoints(slices.Collect(maps.Values(listed)))
-		require.Equal(t, indexed(t, whole), indexed(t, followed))
+		replaced := NewDispatcher(&bvclock.Manual{}, 1, "z")
+		replaced.SetEndpoints(slices.Collect(maps.Values(listed)))
+		require.Equal(t, endpointsByService(t, replaced), endpointsByService(t, followed))
 	})
 }
 
-// Guards against a change of one endpoint that costs the others what is known of them.
-func TestOtherEndpointsKeepWhatIsKnownOfThem(t *testing.T) {
+// Guards against a change of one endpoint that resets the state of the others.
+func TestOtherEndpointsKeepTheirState(t *testing.T) {
 	pool := NewPool(1, "z")
 	pool.SetEndpoints(engines(3))
 	for _, row := range pool.rows {
@@ -68,7 +68,7 @@
 	require.Equal(t, []int{2, 0, 2}, []int{pool.rows[0].running, pool.rows[1].running, pool.rows[2].running})
 }
 
-// BenchmarkChange is the cost of one endpoint's change on a list of many.
+// BenchmarkChange measures the cost of one endpoint's change on a list of many.
 func BenchmarkChange(b *testing.B) {
 	for _, count := range []int{100, 1000, 10_000, 20_000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
@@ -84,7 +84,7 @@
 	}
 }
 
-// BenchmarkWholeList is the cost of a list that is taken over whole.
+// BenchmarkWholeList measures the cost of setting a whole list.
 func BenchmarkWholeList(b *testing.B) {
 	for _, count := range []int{100, 1000, 10_000, 20_000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
--- a/bvdispatch/dispatcher.go
+++ b/bvdispatch/dispatcher.go
@@ -10,18 +10,18 @@
 	"balsamvalve.example/bvroute"
 )
 
-// Dispatcher holds the pools of all services for a daemon whose calls run side by
-// side. Make one with NewDispatcher.
+// Dispatcher holds the pools of all services. It is safe for concurrent use. Make one with
+// NewDispatcher.
 type Dispatcher struct {
 	clock bvclock.Clock
 	seed  uint64
 	zone  string
 
-	without bvmechanism.Set
+	disabled bvmechanism.Set
 
-	mutex  sync.Mutex
-	pools  map[string]*Pool
-	placed []Placement // since the last look
+	mutex      sync.Mutex
+	pools      map[string]*Pool
+	placements []Placement // since the last call of TakeLoadReport
 
 	suspects Suspects
 	trackers Trackers // nil: none
@@ -30,42 +30,44 @@
 // Trackers are the hosts that count the calls at endpoints. Endpoints go by the hashes
 // of their IDs.
 type Trackers interface {
-	// QueryRunning asks how many calls the other hosts have at endpoints now. Endpoints of
-	// which it is not known are missing.
+	// QueryRunning asks how many calls the other hosts have at endpoints now. The result
+	// has no entry for an endpoint whose count is unknown.
 	QueryRunning(endpoints []uint64) map[uint64]int
-	// ReportRunning tells how many calls this host has at an endpoint now.
+	// ReportRunning reports how many calls this host has at an endpoint now.
 	ReportRunning(endpoint uint64, running int)
-	// QueryHolding asks which endpoint has a conversation of a program, and how many tokens of
-	// it. A conversation that is not known is where the program's last turn was.
+	// QueryHolding asks which endpoint has a conversation of a program cached, and how many
+	// tokens of it. For an unknown conversation, it is the endpoint of the program's last
+	// turn.
 	QueryHolding(program, conversation uint64) (endpoint uint64, tokens int, found bool)
-	// ReportHolding tells which endpoint has a conversation.
+	// ReportHolding reports which endpoint has a conversation cached.
 	ReportHolding(program, conversation, endpoint uint64, tokens int)
 }
 
-// SetTrackers lets decisions ask trackers. It is called before the first call.
+// SetTrackers makes decisions query trackers. It must be called before the first call is
+// dispatched.
 func (dispatcher *Dispatcher) SetTrackers(trackers Trackers) { dispatcher.trackers = trackers }
 
-// Placement is a part of a prompt that an endpoint was sent.
+// Placement is a part of a prompt that was sent to an endpoint.
 type Placement struct {
 	Endpoint uint64 // hash of its ID
 	Part     bvroute.Part
 }
 
-// maxPlaced bounds what is kept to tell other hosts; more than that in one
-// interval is not told.
-const maxPlaced = 512
+// maxPlacements bounds the placements that are reported to other hosts in one interval;
+// further ones are not reported.
+const maxPlacements = 512
 
 // NewDispatcher returns a Dispatcher without pools.
 func NewDispatcher(clock bvclock.Clock, seed uint64, zone string) *Dispatcher {
 	return &Dispatcher{clock: clock, seed: seed, zone: zone, pools: make(map[string]*Pool)}
 }
 
-// Disable switches mechanisms off, for experiments. It is called before the first
-// call.
-func (dispatcher *Dispatcher) Disable(mechanisms bvmechanism.Set) { dispatcher.without = mechanisms }
+// Disable switches mechanisms off, for experiments. It must be called before the first
+// call is dispatched.
+func (dispatcher *Dispatcher) Disable(mechanisms bvmechanism.Set) { dispatcher.disabled = mechanisms }
 
-// SetEndpoints takes over the list of all endpoints. Services that have no
-// endpoint any more keep an empty pool.
+// SetEndpoints replaces the list of all endpoints. Services that no longer have an
+// endpoint keep an empty pool.
 func (dispatcher *Dispatcher) SetEndpoints(listed []bvplatform.Endpoint) {
 	byService := make(map[string][]bvplatform.Endpoint)
 	for _, endpoint := range listed {
@@ -78,18 +80,18 @@
 	}
 	for service, pool := range dispatcher.pools {
 		for _, replaced := range pool.SetEndpoints(byService[service]) {
-			dispatcher.suspects.RecordEndpointLoss(dispatcher.clock.Now(), replaced) // whatever ran there may have crashed it
+			dispatcher.suspects.RecordEndpointLoss(dispatcher.clock.Now(), replaced) // a request that ran there may have crashed it
 		}
 	}
 }
 
-// ChangeEndpoints takes over what changed on the list of all endpoints, at a cost that
-// does not grow with the list.
-func (dispatcher *Dispatcher) ChangeEndpoints(listed []bvplatform.Endpoint, gone []string) {
+// ChangeEndpoints applies changes to the list of all endpoints, at a cost that does not
+// grow with the list.
+func (dispatcher *Dispatcher) ChangeEndpoints(listed []bvplatform.Endpoint, removed []string) {
 	now := dispatcher.clock.Now()
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
-	for _, name := range gone {
+	for _, name := range removed {
 		for _, pool := range dispatcher.pools {
 			pool.RemoveEndpoint(name)
 		}
@@ -111,23 +113,23 @@
 	found := dispatcher.pools[service]
 	if found == nil {
 		found = NewPool(dispatcher.seed, dispatcher.zone)
-		found.Disable(dispatcher.without)
+		found.Disable(dispatcher.disabled)
 		dispatcher.pools[service] = found
 	}
 	return found
 }
 
 // Admit reports whether a new program may begin at a service. If not, it returns
-// the time after which to come back.
-func (dispatcher *Dispatcher) Admit(service string, newcomer NewProgram) (bvclock.Duration, bool) {
+// the time after which the caller should retry.
+func (dispatcher *Dispatcher) Admit(service string, program NewProgram) (bvclock.Duration, bool) {
 	now := dispatcher.clock.Now()
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
-	return dispatcher.pool(service).Admit(now, newcomer)
+	return dispatcher.pool(service).Admit(now, program)
 }
 
-// ReadingRates returns how many prompt tokens the engines of each service read in a
-// millisecond, as far as this host has learnt.
+// ReadingRates returns the number of prompt tokens that the engines of each service read
+// (prefill) in a millisecond. A service of which this host has no sample is missing.
 func (dispatcher *Dispatcher) ReadingRates() map[string]float64 {
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
@@ -140,45 +142,46 @@
 	return rates
 }
 
-// Choose returns the endpoint for a call and counts the call there. Each is to
-// be followed by an End.
+// Choose returns the endpoint for a call and counts the call there. Each successful Choose
+// must be followed by an EndCall.
 func (dispatcher *Dispatcher) Choose(service string, request *Request) (bvplatform.Endpoint, bool) {
 	dispatcher.findHolder(request)
-	counts := dispatcher.countsFor(service, request)
-	chosen, running, found := dispatcher.begin(service, request, counts)
+	counts := dispatcher.queryPeerCalls(service, request)
+	chosen, running, found := dispatcher.beginCall(service, request, counts)
 	if found {
-		dispatcher.tell(HashID(chosen.ID()), running)
+		dispatcher.reportRunning(HashID(chosen.ID()), running)
 	}
 	return chosen, found
 }
 
-// HasEarlierTurns reports whether a turn's program had turns before this one, through whatever
-// host, as far as its tracker knows.
+// HasEarlierTurns reports whether the program's tracker knows of a turn before this one,
+// through any host.
 func (dispatcher *Dispatcher) HasEarlierTurns(request *Request) bool {
 	dispatcher.findHolder(request)
 	return request.HeldPrefix != (HeldPrefix{})
 }
 
-// findHolder asks which endpoint has the conversation, once, unless that is known.
+// findHolder queries the tracker, once, for the endpoint that has the conversation cached,
+// unless it is known.
 func (dispatcher *Dispatcher) findHolder(request *Request) {
-	if !dispatcher.tracks(request) || request.sought || request.HeldPrefix != (HeldPrefix{}) {
+	if !dispatcher.hasTracker(request) || request.holderQueried || request.HeldPrefix != (HeldPrefix{}) {
 		return
 	}
-	request.sought = true
+	request.holderQueried = true
 	if endpoint, tokens, found := dispatcher.trackers.QueryHolding(request.Program, request.Conversation); found {
 		request.HeldPrefix = HeldPrefix{Endpoint: endpoint, Tokens: tokens}
 	}
 }
 
 // tracks reports whether the request's program has a tracker.
-func (dispatcher *Dispatcher) tracks(request *Request) bool {
-	return dispatcher.trackers != nil && request.Program != 0 && !dispatcher.without.Has(bvmechanism.Holders)
+func (dispatcher *Dispatcher) hasTracker(request *Request) bool {
+	return dispatcher.trackers != nil && request.Program != 0 && !dispatcher.disabled.Has(bvmechanism.Holders)
 }
 
-// countsFor asks the trackers of the endpoints that look best for a call. It returns
-// nil where nothing was asked.
-func (dispatcher *Dispatcher) countsFor(service string, request *Request) map[uint64]int {
-	if dispatcher.trackers == nil || dispatcher.without.Has(bvmechanism.Probes) {
+// queryPeerCalls queries the trackers of the cheapest endpoints for a call. It returns nil
+// if no tracker was queried.
+func (dispatcher *Dispatcher) queryPeerCalls(service string, request *Request) map[uint64]int {
+	if dispatcher.trackers == nil || dispatcher.disabled.Has(bvmechanism.Probes) {
 		return nil
 	}
 	shortlist := dispatcher.shortlist(service, request)
@@ -199,9 +202,9 @@
 	return pool.Shortlist(now, request)
 }
 
-// begin decides by what trackers told, and counts the call. It returns how many calls
-// this host has at the chosen endpoint with it.
-func (dispatcher *Dispatcher) begin(service string, request *Request, counts map[uint64]int) (bvplatform.Endpoint, int, bool) {
+// beginCall chooses an endpoint by the counts of the trackers, and counts the call. It
+// returns how many calls this host now has at the chosen endpoint.
+func (dispatcher *Dispatcher) beginCall(service string, request *Request, counts map[uint64]int) (bvplatform.Endpoint, int, bool) {
 	now := dispatcher.clock.Now()
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
@@ -211,28 +214,28 @@
 	if !found {
 		return chosen, 0, false
 	}
-	dispatcher.note(chosen.ID(), pool.BeginCall(now, chosen.ID(), request))
+	dispatcher.addPlacements(chosen.ID(), pool.BeginCall(now, chosen.ID(), request))
 	return chosen, pool.RunningAt(HashID(chosen.ID())), true
 }
 
-// tell tells an endpoint's tracker of this host's calls there. It must not be called
-// with the lock held: the trackers ask this dispatcher in turn.
-func (dispatcher *Dispatcher) tell(endpoint uint64, running int) {
-	if dispatcher.trackers != nil && !dispatcher.without.Has(bvmechanism.Probes) {
+// reportRunning reports this host's calls at an endpoint to the endpoint's tracker. It must
+// not be called with the lock held: the trackers call this dispatcher.
+func (dispatcher *Dispatcher) reportRunning(endpoint uint64, running int) {
+	if dispatcher.trackers != nil && !dispatcher.disabled.Has(bvmechanism.Probes) {
 		dispatcher.trackers.ReportRunning(endpoint, running)
 	}
 }
 
-func (dispatcher *Dispatcher) note(endpoint string, parts []bvroute.Part) {
+func (dispatcher *Dispatcher) addPlacements(endpoint string, parts []bvroute.Part) {
 	for _, part := range parts {
-		if len(dispatcher.placed) < maxPlaced {
-			dispatcher.placed = append(dispatcher.placed, Placement{Endpoint: HashID(endpoint), Part: part})
+		if len(dispatcher.placements) < maxPlacements {
+			dispatcher.placements = append(dispatcher.placements, Placement{Endpoint: HashID(endpoint), Part: part})
 		}
 	}
 }
 
-// TakeLoadReport returns this host's calls under way, by the hash of the endpoint's
-// name, and what was placed since the last report.
+// TakeLoadReport returns this host's calls in flight, by the hash of the endpoint's ID,
+// and the placements since the last report, which it clears.
 func (dispatcher *Dispatcher) TakeLoadReport() (map[uint64]int, []Placement) {
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
@@ -240,13 +243,13 @@
 	for _, pool := range dispatcher.pools {
 		maps.Copy(running, pool.RunningByEndpoint())
 	}
-	placed := dispatcher.placed
-	dispatcher.placed = nil
-	return running, placed
+	placements := dispatcher.placements
+	dispatcher.placements = nil
+	return running, placements
 }
 
-// SetPeerLoads takes over how many calls the other hosts have at each endpoint,
-// by the hash of its ID.
+// SetPeerLoads sets how many calls the other hosts have at each endpoint, by the hash of
+// its ID.
 func (dispatcher *Dispatcher) SetPeerLoads(loads map[uint64]int) {
 	now := dispatcher.clock.Now()
 	dispatcher.mutex.Lock()
@@ -256,11 +259,11 @@
 	}
 }
 
-// AddPeerPlacements takes in what another host sent.
-func (dispatcher *Dispatcher) AddPeerPlacements(placed []Placement) {
+// AddPeerPlacements records the parts of prompts that another host sent to endpoints.
+func (dispatcher *Dispatcher) AddPeerPlacements(placements []Placement) {
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
-	for _, placement := range placed {
+	for _, placement := range placements {
 		for _, pool := range dispatcher.pools {
 			pool.AddPeerPlacement(placement.Endpoint, []bvroute.Part{placement.Part})
 		}
@@ -280,7 +283,7 @@
 	return ""
 }
 
-// RunningAt returns how many calls of this host are under way at an endpoint, by the
+// RunningAt returns how many calls of this host are in flight at an endpoint, by the
 // hash of its ID.
 func (dispatcher *Dispatcher) RunningAt(endpoint uint64) int {
 	dispatcher.mutex.Lock()
@@ -293,7 +296,7 @@
 	return 0
 }
 
-// SetLoad takes over the load that an endpoint reports.
+// SetLoad sets the load that an endpoint reports.
 func (dispatcher *Dispatcher) SetLoad(service, endpoint string, load bvroute.Load) {
 	now := dispatcher.clock.Now()
 	dispatcher.mutex.Lock()
@@ -301,19 +304,19 @@
 	dispatcher.pool(service).SetLoad(now, endpoint, load)
 }
 
-// TakeOutcomeReports returns how this host's calls ended since the last look, by the hash of
-// the endpoint's ID.
+// TakeOutcomeReports returns the outcomes of this host's calls since the last report, by
+// the hash of the endpoint's ID, and clears them.
 func (dispatcher *Dispatcher) TakeOutcomeReports() map[uint64]OutcomeReport {
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
-	unshared := make(map[uint64]OutcomeReport)
+	reports := make(map[uint64]OutcomeReport)
 	for _, pool := range dispatcher.pools {
-		maps.Copy(unshared, pool.TakeOutcomeReports())
+		maps.Copy(reports, pool.TakeOutcomeReports())
 	}
-	return unshared
+	return reports
 }
 
-// AddPeerReports takes in how another host's calls ended.
+// AddPeerReports adds the outcomes of another host's calls.
 func (dispatcher *Dispatcher) AddPeerReports(reports map[uint64]OutcomeReport) {
 	now := dispatcher.clock.Now()
 	dispatcher.mutex.Lock()
@@ -325,17 +328,18 @@
 	}
 }
 
-// EndCall notes how a call ended.
+// EndCall records the end of a call.
 func (dispatcher *Dispatcher) EndCall(service, endpoint string, request *Request, result Result) {
 	hash := HashID(endpoint)
-	dispatcher.tell(hash, dispatcher.end(service, endpoint, hash, request, result))
-	if result.Outcome == Served && dispatcher.tracks(request) {
+	dispatcher.reportRunning(hash, dispatcher.endCall(service, endpoint, hash, request, result))
+	if result.Outcome == Served && dispatcher.hasTracker(request) {
 		dispatcher.trackers.ReportHolding(request.Program, request.Conversation, hash, request.PromptTokens+result.OutputTokens)
 	}
 }
 
-// end returns how many calls this host has left at the endpoint.
-func (dispatcher *Dispatcher) end(service, endpoint string, hash uint64, request *Request, result Result) int {
+// endCall records the end of a call and returns how many calls this host still has at the
+// endpoint.
+func (dispatcher *Dispatcher) endCall(service, endpoint string, hash uint64, request *Request, result Result) int {
 	now := dispatcher.clock.Now()
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
@@ -350,7 +354,8 @@
 	return pool.RunningAt(hash)
 }
 
-// IsPoisonous reports whether a request has crashed too many endpoints.
+// IsPoisonous reports whether a request, by its content hash, has crashed too many
+// endpoints.
 func (dispatcher *Dispatcher) IsPoisonous(content uint64) bool {
 	now := dispatcher.clock.Now()
 	dispatcher.mutex.Lock()
@@ -358,7 +363,7 @@
 	return dispatcher.suspects.IsPoisonous(now, content)
 }
 
-// RecentCrashes returns the crashes to tell other hosts.
+// RecentCrashes returns the crashes to report to other hosts.
 func (dispatcher *Dispatcher) RecentCrashes() []Crash {
 	now := dispatcher.clock.Now()
 	dispatcher.mutex.Lock()
@@ -366,7 +371,7 @@
 	return dispatcher.suspects.RecentCrashes(now)
 }
 
-// AddPeerCrash takes in a crash that another host saw.
+// AddPeerCrash records a crash that another host detected.
 func (dispatcher *Dispatcher) AddPeerCrash(crash Crash) {
 	now := dispatcher.clock.Now()
 	dispatcher.mutex.Lock()
--- a/bvdispatch/fairness.go
+++ b/bvdispatch/fairness.go
@@ -6,60 +6,62 @@
 	"balsamvalve.example/bvclock"
 )
 
-// Fairness between workspaces, for a crowd that is one workspace's. While one of them
-// begins a large part of all programs, it is turned away before the others are.
+// Fairness between workspaces, for an overload caused by one workspace. While one
+// workspace starts a large part of all programs, its programs are rejected before those of
+// the others.
 const (
-	// begunDecay is the time constant by which programs that began are forgotten.
-	begunDecay = 5 * bvclock.Second
-	// dominantShare is from where on a workspace dominates, as a share of the programs
-	// that began at this host, and dominantLeast how many it must have begun: few say little.
-	dominantShare = 0.25
-	dominantLeast = 3
-	// othersShare is added to the limit of admission for the other workspaces.
-	othersShare = 0.2
+	// programCountDecay is the time constant of the decay of the program counts.
+	programCountDecay = 5 * bvclock.Second
+	// dominantShare is the share of the programs started at this host above which a
+	// workspace dominates. It must also have started minDominantPrograms: a share of fewer
+	// programs is not significant.
+	dominantShare       = 0.25
+	minDominantPrograms = 3
+	// othersExtraShare is added to the admission limit for the other workspaces.
+	othersExtraShare = 0.2
 )
 
-// begun counts the programs that began at this host, by workspace, and forgets them
-// with time. The zero value has counted none.
-type begun struct {
-	programs map[string]float64
-	total    float64
-	at       bvclock.Time
+// programCounts counts the programs started at this host, by workspace, with exponential
+// decay. The zero value has counted none.
+type programCounts struct {
+	programs  map[string]float64
+	total     float64
+	updatedAt bvclock.Time
 }
 
-func (begun *begun) add(now bvclock.Time, workspace string) {
-	if begun.programs == nil {
-		begun.programs = make(map[string]float64)
+func (counts *programCounts) add(now bvclock.Time, workspace string) {
+	if counts.programs == nil {
+		counts.programs = make(map[string]float64)
 	}
-	begun.fade(now)
-	begun.programs[workspace]++
-	begun.total++
+	counts.decay(now)
+	counts.programs[workspace]++
+	counts.total++
 }
 
-// forgotten is the count below which a workspace is forgotten.
-const forgotten = 0.05
+// minProgramCount is the count below which a workspace is dropped.
+const minProgramCount = 0.05
 
-func (begun *begun) fade(now bvclock.Time) {
-	left := math.Exp(-float64(now.Sub(begun.at)) / float64(begunDecay))
-	begun.at, begun.total = now, 0
-	for workspace, programs := range begun.programs {
-		if programs *= left; programs < forgotten {
-			delete(begun.programs, workspace)
+func (counts *programCounts) decay(now bvclock.Time) {
+	factor := math.Exp(-float64(now.Sub(counts.updatedAt)) / float64(programCountDecay))
+	counts.updatedAt, counts.total = now, 0
+	for workspace, programs := range counts.programs {
+		if programs *= factor; programs < minProgramCount {
+			delete(counts.programs, workspace)
 			continue
 		}
-		begun.programs[workspace] = programs
-		begun.total += programs
+		counts.programs[workspace] = programs
+		counts.total += programs
 	}
 }
 
-// dominant returns the workspace that dominates, if any.
-func (begun *begun) dominant(now bvclock.Time) (workspace string, found bool) {
-	begun.fade(now)
-	most := 0.0
-	for name, programs := range begun.programs {
-		if programs > most {
-			workspace, most = name, programs
+// dominant returns the workspace that started a dominant share of the programs, if any.
+func (counts *programCounts) dominant(now bvclock.Time) (workspace string, found bool) {
+	counts.decay(now)
+	largest := 0.0
+	for name, programs := range counts.programs {
+		if programs > largest {
+			workspace, largest = name, programs
 		}
 	}
-	return workspace, most >= dominantLeast && most > dominantShare*begun.total
+	return workspace, largest >= minDominantPrograms && largest > dominantShare*counts.total
 }
--- a/bvdispatch/fairness_test.go
+++ b/bvdispatch/fairness_test.go
@@ -10,9 +10,10 @@
 	"balsamvalve.example/bvmechanism"
 )
 
-// flooded returns a pool with one endpoint of 16 places, at which as many calls are under
-// way, and with programs that flood has begun among those of others.
-func flooded(running, floods int) *Pool {
+// floodedPool returns a pool with one endpoint of 16 slots and the given number of calls in
+// flight, where the workspace "flood" has started the given number of programs beside four
+// of other workspaces.
+func floodedPool(running, floods int) *Pool {
 	pool := newTestPool(1)
 	for i := range 4 {
 		pool.Admit(0, NewProgram{Priority: 1, Workspace: fmt.Sprint("calm-", i)})
@@ -26,9 +27,9 @@
 	return pool
 }
 
-// Guards against a workspace that starves the others by its number of programs.
-func TestWorkspaceThatFloodsIsTurnedAwayFirst(t *testing.T) {
-	pool := flooded(20, 10)
+// Guards against a workspace that starves the others by starting many programs.
+func TestDominantWorkspaceIsRejectedFirst(t *testing.T) {
+	pool := floodedPool(20, 10)
 	_, admitted := pool.Admit(0, NewProgram{Priority: 1, Workspace: "flood"})
 	require.False(t, admitted)
 	_, admitted = pool.Admit(0, NewProgram{Priority: 1, Workspace: "calm-0"})
@@ -38,25 +39,25 @@
 	require.False(t, admitted)
 }
 
-func TestAllWorkspacesAreTurnedAwayWhereNoneDominates(t *testing.T) {
-	pool := flooded(20, 1)
+func TestAllWorkspacesAreRejectedWhereNoneDominates(t *testing.T) {
+	pool := floodedPool(20, 1)
 	for _, workspace := range []string{"flood", "calm-0", "new"} {
 		_, admitted := pool.Admit(0, NewProgram{Priority: 1, Workspace: workspace})
 		require.False(t, admitted, workspace)
 	}
 }
 
-func TestOtherWorkspacesAreTurnedAwayAtTheirOwnLimit(t *testing.T) {
-	pool := flooded(24, 10)
+func TestOtherWorkspacesAreRejectedAtTheirOwnLimit(t *testing.T) {
+	pool := floodedPool(24, 10)
 	_, admitted := pool.Admit(0, NewProgram{Priority: 1, Workspace: "calm-0"})
 	require.False(t, admitted)
 }
 
-func TestFloodIsForgottenWithTime(t *testing.T) {
-	pool := flooded(20, 10)
-	_, admitted := pool.Admit(bvclock.Time(5*begunDecay), NewProgram{Priority: 1, Workspace: "calm-0"})
-	require.False(t, admitted, "no workspace dominates any more")
-	_, admitted = pool.Admit(bvclock.Time(20*begunDecay), NewProgram{Priority: 1, Workspace: "calm-0"})
+func TestDominanceDecaysWithTime(t *testing.T) {
+	pool := floodedPool(20, 10)
+	_, admitted := pool.Admit(bvclock.Time(5*programCountDecay), NewProgram{Priority: 1, Workspace: "calm-0"})
+	require.False(t, admitted, "no workspace dominates after the decay")
+	_, admitted = pool.Admit(bvclock.Time(20*programCountDecay), NewProgram{Priority: 1, Workspace: "calm-0"})
 	require.False(t, admitted)
-	require.Empty(t, pool.begun.programs)
+	require.Empty(t, pool.startedPrograms.programs)
 }
--- a/bvdispatch/health.go
+++ b/bvdispatch/health.go
@@ -4,11 +4,13 @@
 
 //go:generate stringer -type=Outcome -linecomment -output=outcome_string.go
 
-// Outcome is how a call at an endpoint ended, as far as it says something of
-// the endpoint.
+// Outcome is how a call at an endpoint ended, as far as it indicates the endpoint's
+// health.
 type Outcome int
 
-// The outcomes.
+// The outcomes. Full means that the endpoint rejected the call for lack of slots, Broken
+// that the call failed and may have run, Withdrawn that it was canceled or timed out
+// without a fault of the endpoint, and Wrong that another endpoint has the address.
 const (
 	Served      Outcome = iota // served
 	Full                       // full
@@ -21,50 +23,50 @@
 // Result is how a call at an endpoint ended.
 type Result struct {
 	Outcome          Outcome
-	Duration         bvclock.Duration // since its sending
-	AnswerStarted    bool             // an answer began
-	IsError          bool             // the answer is an error of the endpoint's own
-	Pace             bvclock.Duration // for an event, or for a whole answer without events; 0: not known
-	OutputTokens     int              // tokens that were generated
-	UncachedTokens   int              // prompt tokens that were thought not to be cached
-	TimeToFirstEvent bvclock.Duration // from the sending to the first event; 0: none, or the call waited
+	Duration         bvclock.Duration // since it was sent
+	AnswerStarted    bool             // the endpoint began to answer
+	IsError          bool             // the answer is an error of the endpoint itself
+	Pace             bvclock.Duration // time per event, or of a whole answer without events; 0: unknown
+	OutputTokens     int              // generated tokens
+	UncachedTokens   int              // prompt tokens that were estimated not to be cached
+	TimeToFirstEvent bvclock.Duration // since it was sent; 0: no event, or the call waited for a slot
 }
 
 const (
-	// firstAway is how long an endpoint gets no calls after its first
-	// failure; it doubles with each further one. Endpoints that crash are
-	// back after some seconds.
-	firstAway = 250 * bvclock.Millisecond
-	lastAway  = 4 * bvclock.Second
-	// fullAway is how long an endpoint that was full gets no calls: about the
-	// time in which a slot gets free.
-	fullAway = 25 * bvclock.Millisecond
+	// minPause is how long an endpoint gets no calls after its first failure; the pause
+	// doubles with each further one up to maxPause. Endpoints that crash restart within
+	// some seconds.
+	minPause = 250 * bvclock.Millisecond
+	maxPause = 4 * bvclock.Second
+	// fullPause is how long an endpoint that was full gets no calls: about the time until
+	// a slot is free.
+	fullPause = 25 * bvclock.Millisecond
 )
 
-// health is what calls showed of an endpoint.
+// health is the failure state of an endpoint, by its calls.
 type health struct {
-	failures  int // in a row
-	awayUntil bvclock.Time
+	failures    int // in a row
+	pausedUntil bvclock.Time
 }
 
-func (health *health) away(now bvclock.Time) bool {
-	return now.Before(health.awayUntil)
+func (health *health) isPaused(now bvclock.Time) bool {
+	return now.Before(health.pausedUntil)
 }
 
-func (health *health) judge(now bvclock.Time, outcome Outcome) {
+func (health *health) recordOutcome(now bvclock.Time, outcome Outcome) {
 	switch outcome {
 	case Served:
 		health.failures = 0
 	case Full:
-		health.awayUntil = max(health.awayUntil, now.Add(fullAway))
+		health.pausedUntil = max(health.pausedUntil, now.Add(fullPause))
 	case Unreachable, Broken:
-		pause := min(firstAway<<min(health.failures, 8), lastAway)
+		pause := min(minPause<<min(health.failures, 8), maxPause)
 		if outcome == Broken && health.failures == 0 {
-			pause = 0 // one broken answer says little
+			pause = 0 // a single broken answer is no sign of a fault
 		}
 		health.failures++
-		health.awayUntil = max(health.awayUntil, now.Add(pause))
+		health.pausedUntil = max(health.pausedUntil, now.Add(pause))
 	case Wrong:
-		health.awayUntil = max(health.awayUntil, now.Add(lastAway))
+		health.pausedUntil = max(health.pausedUntil, now.Add(maxPause))
 	}
 }
--- a/bvdispatch/outlier.go
+++ b/bvdispatch/outlier.go
@@ -6,35 +6,36 @@
 	"balsamvalve.example/bvclock"
 )
 
-// Outlier detection. An endpoint is judged by how its calls end, whatever its health
-// check says. Hosts of one availability zone judge together, since one host sees few
-// calls of an endpoint, and zones apart, since a fault may concern one zone's calls
-// only. An outlier is not ejected: it costs more, so that it still gets a call now and
-// then and can recover.
+// Outlier detection. An endpoint is judged by the outcomes of its calls, whatever its
+// health check reports. The hosts of an availability zone share their outcomes, since one
+// host has few calls at an endpoint; zones don't, since a fault may concern the calls from
+// one zone only. An outlier is not ejected: it costs more, so that it still gets an
+// occasional call and can recover.
 const (
-	// outlierDecay is the time constant of the decay of what was seen: short beside
-	// faults, and long beside the time between two calls of a zone to an endpoint.
+	// outlierDecay is the time constant of the decay of the statistics: short compared
+	// with faults, and long compared with the time between two calls of a zone to an
+	// endpoint.
 	outlierDecay = 3 * bvclock.Second
-	// priorCalls are added to the calls that were seen, so that one failure
-	// among few calls says little.
+	// priorCalls are added to the number of calls, so that one failure among few calls
+	// has little weight.
 	priorCalls = 4
-	// failureCost is the cost of a call that fails, in milliseconds: it is made again
-	// from its start, after a pause.
-	failureCost = 1000
-	// slowRatio is from where on an endpoint counts as slow, against the mean of its
-	// service. Full engines are slower than idle ones, and no outliers.
+	// failureCostMs is the cost of a call that fails: it is repeated from its start, after
+	// a pause.
+	failureCostMs = 1000
+	// slowRatio is the ratio of an endpoint's pace to the mean of its service above which
+	// the endpoint counts as slow. Full engines are slower than idle ones, but no outliers.
 	slowRatio = 2
-	// hungAfter is from when on a call that was given up without any answer counts as
+	// hangTimeout is the time after which a withdrawn call without any answer counts as
 	// failed.
-	hungAfter = 1000 * bvclock.Millisecond
+	hangTimeout = 1000 * bvclock.Millisecond
 )
 
-// OutcomeReport is how an endpoint's calls ended. Reports add up.
+// OutcomeReport sums up how calls at an endpoint ended. Reports are added up.
 type OutcomeReport struct {
 	Calls      int
 	Failures   int
 	PacedCalls int // calls whose pace is known
-	PaceMs     int // sum of their milliseconds for an event, or for a whole answer without events
+	PaceMs     int // sum of their paces: time per event, or of a whole answer without events
 }
 
 func (report *OutcomeReport) add(other OutcomeReport) {
@@ -44,54 +45,55 @@
 	report.PaceMs += other.PaceMs
 }
 
-// outlierStats is what reports of this zone's hosts say of an endpoint. The zero
-// value is no outlierStats.
+// outlierStats sums up the reports of this zone's hosts on an endpoint, with exponential
+// decay. The zero value has no reports.
 type outlierStats struct {
-	ended, failed, paced, pace float64
-	at                         bvclock.Time
+	calls, failures, pacedCalls, paceMs float64
+	updatedAt                           bvclock.Time
 }
 
-func (stats *outlierStats) fade(now bvclock.Time) {
-	left := math.Exp(-float64(now.Sub(stats.at)) / float64(outlierDecay))
-	stats.ended *= left
-	stats.failed *= left
-	stats.paced *= left
-	stats.pace *= left
-	stats.at = now
+func (stats *outlierStats) decay(now bvclock.Time) {
+	factor := math.Exp(-float64(now.Sub(stats.updatedAt)) / float64(outlierDecay))
+	stats.calls *= factor
+	stats.failures *= factor
+	stats.pacedCalls *= factor
+	stats.paceMs *= factor
+	stats.updatedAt = now
 }
 
 func (stats *outlierStats) add(now bvclock.Time, report OutcomeReport) {
-	stats.fade(now)
-	stats.ended += float64(report.Calls)
-	stats.failed += float64(report.Failures)
-	stats.paced += float64(report.PacedCalls)
-	stats.pace += float64(report.PaceMs)
+	stats.decay(now)
+	stats.calls += float64(report.Calls)
+	stats.failures += float64(report.Failures)
+	stats.pacedCalls += float64(report.PacedCalls)
+	stats.paceMs += float64(report.PaceMs)
 }
 
-// cost is what a call is expected to cost there beyond what it costs elsewhere,
-// in milliseconds. Pace and duration are the service's means.
-func (stats outlierStats) cost(now bvclock.Time, pace, duration float64) float64 {
-	if stats.ended == 0 {
+// costMs returns the expected extra cost of a call at the endpoint compared with others, in
+// milliseconds. Pace and duration are the service's means.
+func (stats outlierStats) costMs(now bvclock.Time, pace, duration float64) float64 {
+	if stats.calls == 0 {
 		return 0
 	}
-	stats.fade(now)
-	cost := failureCost * stats.failed / (stats.ended + priorCalls)
-	if stats.paced > 0 && pace > 0 {
-		trust := stats.paced / (stats.paced + priorCalls)
-		if ratio := stats.pace / stats.paced / pace; ratio > slowRatio {
-			cost += trust * (ratio - 1) * duration
+	stats.decay(now)
+	cost := failureCostMs * stats.failures / (stats.calls + priorCalls)
+	if stats.pacedCalls > 0 && pace > 0 {
+		confidence := stats.pacedCalls / (stats.pacedCalls + priorCalls)
+		if ratio := stats.paceMs / stats.pacedCalls / pace; ratio > slowRatio {
+			cost += confidence * (ratio - 1) * duration
 		}
 	}
 	return cost
 }
 
-// reportOf is what one call's end says of its endpoint.
-func reportOf(result Result) OutcomeReport {
+// reportFrom returns the report of one call. It is empty where the result does not
+// indicate the endpoint's health.
+func reportFrom(result Result) OutcomeReport {
 	report := OutcomeReport{Calls: 1}
 	switch {
 	case result.Outcome == Broken, result.Outcome == Unreachable, result.IsError:
 		report.Failures = 1
-	case result.Outcome == Withdrawn && !result.AnswerStarted && result.Duration > hungAfter:
+	case result.Outcome == Withdrawn && !result.AnswerStarted && result.Duration > hangTimeout:
 		report.Failures = 1
 	case result.Outcome == Withdrawn, result.Outcome == Full, result.Outcome == Wrong:
 		return OutcomeReport{}
--- a/bvdispatch/outlier_test.go
+++ b/bvdispatch/outlier_test.go
@@ -8,9 +8,9 @@
 	"balsamvalve.example/bvclock"
 )
 
-// judged plays calls, one each 20 ms, at six endpoints of which e3 is ill, and
-// returns how many of the last half reached it.
-func judged(pool *Pool, calls int, ill func(call int) Result) (reached int) {
+// playFaulty simulates calls, one each 20 ms, at six endpoints of which e3 is unhealthy,
+// and returns how many of the last half reached it.
+func playFaulty(pool *Pool, calls int, faultyResult func(call int) Result) (reached int) {
 	for call := range calls {
 		now := bvclock.Time(1 + call*20)
 		request := &Request{}
@@ -18,7 +18,7 @@
 		pool.BeginCall(now, chosen.Name, request)
 		result := Result{Outcome: Served, Duration: 50, AnswerStarted: true, Pace: 50}
 		if chosen.Name == "e3" {
-			result = ill(call)
+			result = faultyResult(call)
 			if call >= calls/2 {
 				reached++
 			}
@@ -28,9 +28,9 @@
 	return reached
 }
 
-// Guards against partial failures that counting failures in a row never finds.
+// Guards against partial failures, which a count of failures in a row never detects.
 func TestEndpointThatFailsPartOfItsCallsGetsFew(t *testing.T) {
-	reached := judged(newTestPool(6), 1000, func(call int) Result {
+	reached := playFaulty(newTestPool(6), 1000, func(call int) Result {
 		if call%5 < 2 {
 			return Result{Outcome: Served, Duration: 5, AnswerStarted: true, IsError: true}
 		}
@@ -39,9 +39,9 @@
 	require.Less(t, reached, 40, "of 500 calls, 83 by an equal share")
 }
 
-// An engine takes eight times as long for each event, and fails nothing.
+// Guards against an engine that takes eight times as long for each event but fails no call.
 func TestSlowEndpointGetsFewCalls(t *testing.T) {
-	reached := judged(newTestPool(6), 1000, func(int) Result {
+	reached := playFaulty(newTestPool(6), 1000, func(int) Result {
 		return Result{Outcome: Served, Duration: 400, AnswerStarted: true, Pace: 400}
 	})
 	require.Less(t, reached, 40)
@@ -49,23 +49,24 @@
 
 // Guards against an engine that never answers, whose calls all end as withdrawn.
 func TestEndpointThatHangsGetsFewCalls(t *testing.T) {
-	reached := judged(newTestPool(6), 1000, func(int) Result {
+	reached := playFaulty(newTestPool(6), 1000, func(int) Result {
 		return Result{Outcome: Withdrawn, Duration: 2 * bvclock.Second}
 	})
 	require.Less(t, reached, 40)
 }
 
-// Callers that leave soon are no fault of the engine.
-func TestCallersThatLeaveSayNothingOfTheEndpoint(t *testing.T) {
-	reached := judged(newTestPool(6), 1000, func(int) Result {
+// Guards against callers that cancel early and are counted as failures of the engine.
+func TestWithdrawnCallsDoNotCountAgainstTheEndpoint(t *testing.T) {
+	reached := playFaulty(newTestPool(6), 1000, func(int) Result {
 		return Result{Outcome: Withdrawn, Duration: 200}
 	})
 	require.Greater(t, reached, 60)
 }
 
-// An engine that was ill for a while is well again and must get its share.
-func TestEndpointThatIsWellAgainGetsItsShare(t *testing.T) {
-	reached := judged(newTestPool(6), 2000, func(call int) Result {
+// Guards against an engine that was unhealthy for a while and gets no calls after it has
+// recovered.
+func TestRecoveredEndpointGetsItsShare(t *testing.T) {
+	reached := playFaulty(newTestPool(6), 2000, func(call int) Result {
 		if call < 500 {
 			return Result{Outcome: Broken, Duration: 5}
 		}
@@ -74,8 +75,8 @@
 	require.Greater(t, reached, 120, "of 1000 calls, 166 by an equal share")
 }
 
-// All endpoints fail most calls: somebody still has to be asked.
-func TestJudgementNeverEmptiesAPool(t *testing.T) {
+// Guards against a pool without a choice when all endpoints fail most calls.
+func TestOutlierDetectionNeverEmptiesAPool(t *testing.T) {
 	pool := newTestPool(3)
 	for call := range 500 {
 		now := bvclock.Time(1 + call*20)
@@ -86,8 +87,9 @@
 	}
 }
 
-// A host that has no calls at an endpoint learns from those of its zone.
-func TestHostsOfAZoneJudgeTogether(t *testing.T) {
+// Guards against a host that sends calls to an unhealthy endpoint which other hosts of its
+// zone have already detected.
+func TestHostsOfAZoneShareOutcomes(t *testing.T) {
 	here, there := newTestPool(6), newTestPool(6)
 	for range 20 {
 		here.BeginCall(1, "e3", &Request{})
@@ -96,7 +98,7 @@
 	for endpoint, report := range here.TakeOutcomeReports() {
 		there.AddPeerReport(1, endpoint, report)
 	}
-	require.Empty(t, here.TakeOutcomeReports(), "told once")
+	require.Empty(t, here.TakeOutcomeReports(), "reported once")
 	for range 100 {
 		chosen, _ := there.Choose(2, &Request{})
 		require.NotEqual(t, "e3", chosen.Name)
--- a/bvdispatch/poison.go
+++ b/bvdispatch/poison.go
@@ -5,56 +5,55 @@
 )
 
 const (
-	// crashLimit is how many endpoints a request may have crashed before it is
-	// refused everywhere.
+	// crashLimit is the number of endpoints that a request must have crashed to be
+	// refused by all hosts.
 	crashLimit = 3
-	// crashWindow is how long after a call broke off its endpoint's going
-	// away counts as a crash under that call.
+	// crashWindow is the time after a broken call within which the loss of its endpoint
+	// counts as a crash caused by the call.
 	crashWindow = 2 * bvclock.Second
-	// crashMemory is how long crashes are remembered after the last one: the
-	// endpoint is back after some seconds, and so is the caller.
-	crashMemory = bvclock.Minute
-	// tellCrashFor is how long a crash stands in digests, some of which are
+	// crashRetention is how long crashes are retained after the last one: the endpoint
+	// restarts within some seconds, and the caller retries as soon.
+	crashRetention = bvclock.Minute
+	// crashReportTime is how long a crash is included in digests, since some digests are
 	// lost.
-	tellCrashFor = 3 * bvclock.Second
-	// maxFailures bounds the calls that are remembered as broken off.
-	maxFailures = 1024
+	crashReportTime = 3 * bvclock.Second
+	// maxBrokenCalls bounds the broken calls that are retained.
+	maxBrokenCalls = 1024
 )
 
-// Crash is an endpoint that went away under a request.
+// Crash is the loss of an endpoint while it ran a request.
 type Crash struct {
-	Request  uint64 // what the request is known by: the same each time it comes
+	Request  uint64 // content hash, which is the same for each retry of the request
 	Endpoint uint64 // hash of the endpoint's ID, which differs with each start
 }
 
-// Suspects holds the requests that were in flight when endpoints crashed. One
-// request can crash each endpoint that begins to run it, and its caller sends
-// it again, to any host; without this table it takes one endpoint down after
-// the other. The zero value is empty.
+// Suspects holds the requests that were in flight when endpoints crashed. A request may
+// crash each endpoint that runs it, and its caller retries it through any host; without
+// this table it would crash one endpoint after the other. The zero value is empty.
 type Suspects struct {
-	failures []failure
-	crashes  map[uint64]map[uint64]bvclock.Time // by request and endpoint
+	brokenCalls []brokenCall
+	crashes     map[uint64]map[uint64]bvclock.Time // by request and endpoint
 }
 
-type failure struct {
+type brokenCall struct {
 	Crash
 	at bvclock.Time
 }
 
-// RecordBrokenCall notes that an endpoint's connection broke under a request. It alone
-// says little: answers get lost for many reasons.
+// RecordBrokenCall records that the connection to an endpoint broke during a request. This
+// alone does not make the request a suspect: answers are lost for many reasons.
 func (suspects *Suspects) RecordBrokenCall(now bvclock.Time, request, endpoint uint64) {
-	if len(suspects.failures) >= maxFailures {
-		suspects.failures = suspects.failures[maxFailures/2:]
+	if len(suspects.brokenCalls) >= maxBrokenCalls {
+		suspects.brokenCalls = suspects.brokenCalls[maxBrokenCalls/2:]
 	}
-	suspects.failures = append(suspects.failures, failure{Crash{request, endpoint}, now})
+	suspects.brokenCalls = append(suspects.brokenCalls, brokenCall{Crash{request, endpoint}, now})
 }
 
-// RecordEndpointLoss notes that an endpoint can't be reached any more or is another one: the
-// requests that broke off there just before are suspects.
+// RecordEndpointLoss records that an endpoint is no longer reachable or was replaced. The
+// requests whose calls broke there within crashWindow become suspects.
 func (suspects *Suspects) RecordEndpointLoss(now bvclock.Time, endpoint uint64) {
-	kept := suspects.failures[:0]
-	for _, broken := range suspects.failures {
+	kept := suspects.brokenCalls[:0]
+	for _, broken := range suspects.brokenCalls {
 		switch {
 		case now.Sub(broken.at) > crashWindow:
 		case broken.Endpoint == endpoint:
@@ -63,11 +62,11 @@
 			kept = append(kept, broken)
 		}
 	}
-	suspects.failures = kept
+	suspects.brokenCalls = kept
 }
 
-// RecordCrash notes a crash, seen here or told by another host; the same one twice
-// counts once.
+// RecordCrash records a crash that this or another host detected. A crash that is recorded
+// twice counts once.
 func (suspects *Suspects) RecordCrash(now bvclock.Time, crash Crash) {
 	if suspects.crashes == nil {
 		suspects.crashes = make(map[uint64]map[uint64]bvclock.Time)
@@ -82,14 +81,14 @@
 	}
 }
 
-// IsPoisonous reports whether a request has crashed too many endpoints.
+// IsPoisonous reports whether a request has crashed crashLimit endpoints or more.
 func (suspects *Suspects) IsPoisonous(now bvclock.Time, request uint64) bool {
 	endpoints := suspects.crashes[request]
 	if len(endpoints) < crashLimit {
 		return false
 	}
 	for _, at := range endpoints {
-		if now.Sub(at) < crashMemory {
+		if now.Sub(at) < crashRetention {
 			return true
 		}
 	}
@@ -97,18 +96,18 @@
 	return false
 }
 
-// RecentCrashes returns the crashes to tell other hosts, and forgets old ones.
+// RecentCrashes returns the crashes to report to other hosts, and drops old ones.
 func (suspects *Suspects) RecentCrashes(now bvclock.Time) []Crash {
 	var recent []Crash
 	for request, endpoints := range suspects.crashes {
 		latest := bvclock.Time(0)
 		for endpoint, at := range endpoints {
 			latest = max(latest, at)
-			if now.Sub(at) < tellCrashFor {
+			if now.Sub(at) < crashReportTime {
 				recent = append(recent, Crash{request, endpoint})
 			}
 		}
-		if now.Sub(latest) > crashMemory {
+		if now.Sub(latest) > crashRetention {
 			delete(suspects.crashes, request)
 		}
 	}
--- a/bvdispatch/poison_test.go
+++ b/bvdispatch/poison_test.go
@@ -18,10 +18,10 @@
 	}
 	require.True(t, suspects.IsPoisonous(12, 1))
 	require.False(t, suspects.IsPoisonous(12, 2))
-	require.False(t, suspects.IsPoisonous(bvclock.Time(crashMemory)+12, 1), "the caller may try again after a while")
+	require.False(t, suspects.IsPoisonous(bvclock.Time(crashRetention)+12, 1), "the caller may retry after a while")
 }
 
-// Guards against suspects that are made of lost answers.
+// Guards against lost answers that make a request a suspect.
 func TestLostAnswersAreNoCrashes(t *testing.T) {
 	var suspects Suspects
 	for endpoint := range uint64(50) {
@@ -30,8 +30,9 @@
 	require.False(t, suspects.IsPoisonous(11, 1))
 }
 
-// An answer is lost, and much later the endpoint leaves.
-func TestEndpointThatGoesLaterDidNotCrash(t *testing.T) {
+// Guards against a crash that is counted when an answer is lost and the endpoint leaves
+// much later.
+func TestLaterLossOfAnEndpointIsNoCrash(t *testing.T) {
 	var suspects Suspects
 	for endpoint := range uint64(crashLimit) {
 		suspects.RecordBrokenCall(10, 1, endpoint)
@@ -40,7 +41,8 @@
 	require.Empty(t, suspects.RecentCrashes(bvclock.Time(crashWindow)+20))
 }
 
-// Guards against crashes that hosts count alone, or twice by repeated digests.
+// Guards against crashes that only the detecting host counts, or that count twice because
+// digests repeat them.
 func TestCrashesSeenByOtherHostsCount(t *testing.T) {
 	var here, there Suspects
 	for endpoint := range uint64(crashLimit) {
@@ -58,11 +60,11 @@
 
 func TestSuspectsStayBounded(t *testing.T) {
 	var suspects Suspects
-	for request := range uint64(10 * maxFailures) {
+	for request := range uint64(10 * maxBrokenCalls) {
 		suspects.RecordBrokenCall(10, request, 1)
 	}
-	require.LessOrEqual(t, len(suspects.failures), maxFailures)
+	require.LessOrEqual(t, len(suspects.brokenCalls), maxBrokenCalls)
 	suspects.RecordEndpointLoss(10, 1)
-	suspects.RecentCrashes(bvclock.Time(10).Add(crashMemory + 1))
+	suspects.RecentCrashes(bvclock.Time(10).Add(crashRetention + 1))
 	require.Empty(t, suspects.crashes)
 }
--- a/bvdispatch/pool.go
+++ b/bvdispatch/pool.go
@@ -1,14 +1,14 @@
-// Package bvdispatch decides, on each host by itself, which endpoint of a
-// service a call goes to.
+// Package bvdispatch chooses, independently on each host, the endpoint of a service that a
+// call is sent to.
 //
-// A Pool holds one service's endpoints as rows: what the platform's list says
-// of them, the calls this host has there, the load they told, what they are
-// likely to have cached, and how calls ended there lately. It knows no sockets
-// and no clock; events go in by its methods and Choose answers.
+// A Pool holds one service's endpoints as rows: each endpoint's entry on the platform's
+// list, this host's calls there, the load that the endpoint reported, the prompts that it
+// probably has cached, and the outcomes of recent calls. It uses no sockets and no clock:
+// callers pass events and the time to its methods.
 //
-// Beside it, bvgate decides on one host for all others. A gate sees every call
-// but costs each call a hop, which fails with that host; here nothing is asked
-// of another host before a call is sent. docs/design/platform.md weighs both.
+// The alternative, bvgate, decides on one host for all others. A gate sees every call but
+// costs each call a hop, which fails with that host; here no single host has to answer
+// before a call is sent. docs/design/platform.md compares both.
 //
 // # Usage
 //
@@ -32,58 +32,58 @@
 	"balsamvalve.example/bvroute"
 )
 
-// Request is what a decision needs to know of a call.
+// Request describes a call to the dispatcher.
 type Request struct {
-	Prefix       []bvroute.Part // of the prompt; empty for plain services
-	PromptTokens int
-	Object       uint64          // that the call concerns; 0: none, or it makes no difference
-	Excluded     map[string]bool // endpoints that must not be chosen again
-	ContentHash  uint64          // what the request is known by when it comes again
-	HeldPrefix   HeldPrefix      // where the turn before ran
-	Program      uint64          // that the turn belongs to; 0: none
-	Conversation uint64          // the line of its turns
-	sought       bool            // its tracker was asked
-	// Among are the endpoints to choose from, by the hashes of their IDs, with the
-	// calls that the other hosts have there now. Nil: all.
+	Prefix        []bvroute.Part // of the prompt; empty for plain services
+	PromptTokens  int
+	Object        uint64          // that the call concerns; 0: none, or it makes no difference
+	Excluded      map[string]bool // endpoints that must not be chosen again
+	ContentHash   uint64          // the same for each retry of the request
+	HeldPrefix    HeldPrefix      // where the previous turn ran
+	Program       uint64          // that the turn belongs to; 0: none
+	Conversation  uint64          // sequence of the program's turns that this one continues
+	holderQueried bool            // the program's tracker was queried
+	// PeerCalls holds the calls that the other hosts have now at the endpoints to choose
+	// from, by the hashes of their IDs. Nil: choose from all.
 	PeerCalls map[uint64]int
 
-	// Set by Choose, for the log: what the decision went by.
-	CachedTokens int     // tokens of the prompt that the chosen endpoint is thought to have
-	Load         float64 // calls that it is thought to have, from all hosts
+	// Set by Choose, for the log: estimates for the chosen endpoint.
+	CachedTokens int     // tokens of the prompt that it has cached
+	Load         float64 // its calls from all hosts
 }
 
-// HeldPrefix is the part of a prompt that an endpoint has from the turn before. The zero
-// value is none.
+// HeldPrefix is the part of a prompt that an endpoint has cached from the previous turn.
+// The zero value is none.
 type HeldPrefix struct {
 	Endpoint uint64 // hash of its ID
 	Tokens   int    // from the prompt's start
 }
 
-// Pool decides for the endpoints of one service. It is not safe for
-// concurrent use. Make one with NewPool.
+// Pool chooses among the endpoints of one service. It is not safe for concurrent use. Make
+// one with NewPool.
 type Pool struct {
-	rows     []*endpoint // sorted by name
-	byName   map[string]*endpoint
-	byHash   map[uint64]*endpoint
-	random   *rand.Rand
-	duration average // of a call, in milliseconds
-	pace     average // of calls, in milliseconds for an event or answer
-	reading  reading
-	begun    begun
-	zone     string // availability zone of this host
-	without  bvmechanism.Set
-
-	beginnings      map[uint64]beginning // first parts of prompts, by key
-	beginningTokens int
-
-	// For lists that are too long to be compared whole.
-	changes int         // of the list
-	recent  []*endpoint // that this host called, the last one at the end
-	orders  orders
-	near    []*endpoint // of this availability zone
-	nearOf  int         // changes that it is of
-	drawn   []*endpoint
-	drawing uint64 // number of the last drawing
+	rows            []*endpoint // sorted by name
+	byName          map[string]*endpoint
+	byHash          map[uint64]*endpoint
+	random          *rand.Rand
+	duration        average // of a call, in milliseconds
+	pace            average // of calls, in milliseconds per event or answer
+	reading         readingEstimator
+	startedPrograms programCounts
+	zone            string // availability zone of this host
+	disabled        bvmechanism.Set
+
+	prefixes     map[uint64]prefixUse // first parts of prompts, by key
+	prefixTokens int
+
+	// Used for lists of more than maxScannedRows.
+	revision         int         // of the list
+	recent           []*endpoint // that this host called, the latest at the end
+	orders           orderCache
+	zoneRows         []*endpoint // in this host's availability zone
+	zoneRowsRevision int         // of the list that zoneRows was derived from
+	candidateRows    []*endpoint // of the last decision
+	candidateRound   uint64      // number of the last decision
 }
 
 // NewPool returns an empty pool for a host in an availability zone. The seed
@@ -91,36 +91,36 @@
 // at once.
 func NewPool(seed uint64, zone string) *Pool {
 	return &Pool{
-		byName:     make(map[string]*endpoint),
-		byHash:     make(map[uint64]*endpoint),
-		random:     rand.New(rand.NewPCG(seed, seed)),
-		zone:       zone,
-		beginnings: make(map[uint64]beginning),
+		byName:   make(map[string]*endpoint),
+		byHash:   make(map[uint64]*endpoint),
+		random:   rand.New(rand.NewPCG(seed, seed)),
+		zone:     zone,
+		prefixes: make(map[uint64]prefixUse),
 	}
 }
 
 // Disable switches mechanisms off, for experiments.
-func (pool *Pool) Disable(mechanisms bvmechanism.Set) { pool.without = mechanisms }
+func (pool *Pool) Disable(mechanisms bvmechanism.Set) { pool.disabled = mechanisms }
 
-// SetEndpoints takes over the platform's list of the service's endpoints. What
-// is known of those that stay is kept. An endpoint that has started again has
-// another ID: its prompts, calls, failures and load are those of a new one.
-// SetEndpoints returns the hashes of the IDs that are replaced by such a start.
+// SetEndpoints replaces the list of the service's endpoints by the platform's. Endpoints
+// that stay on it keep their state. An endpoint that has restarted has another ID: its
+// cached prompts, calls, failures and load start from zero. SetEndpoints returns the hashes
+// of the IDs that were replaced by a restart.
 func (pool *Pool) SetEndpoints(listed []bvplatform.Endpoint) (replaced []uint64) {
-	names := make(map[string]bool, len(listed))
+	isListed := make(map[string]bool, len(listed))
 	for _, entry := range listed {
-		names[entry.Name] = true
+		isListed[entry.Name] = true
 	}
 	pool.rows = slices.DeleteFunc(pool.rows, func(row *endpoint) bool {
-		if !names[row.entry.Name] {
-			pool.forget(row)
+		if !isListed[row.entry.Name] {
+			pool.unindexRow(row)
 		}
-		return !names[row.entry.Name]
+		return !isListed[row.entry.Name]
 	})
 	var added []*endpoint
 	for _, entry := range listed {
 		if row := pool.byName[entry.Name]; row != nil {
-			replaced = append(replaced, pool.renew(row, entry)...)
+			replaced = append(replaced, pool.updateRow(row, entry)...)
 			continue
 		}
 		added = append(added, pool.newRow(entry))
@@ -130,17 +130,17 @@
 	return replaced
 }
 
-// PutEndpoint takes over one endpoint's entry, as SetEndpoints does.
+// PutEndpoint adds or updates one endpoint's entry, as SetEndpoints does.
 func (pool *Pool) PutEndpoint(entry bvplatform.Endpoint) (replaced []uint64) {
 	if row := pool.byName[entry.Name]; row != nil {
-		return pool.renew(row, entry)
+		return pool.updateRow(row, entry)
 	}
 	at, _ := pool.find(entry.Name)
 	pool.rows = slices.Insert(pool.rows, at, pool.newRow(entry))
 	return nil
 }
 
-// RemoveEndpoint takes an endpoint off the list, if it is there.
+// RemoveEndpoint removes an endpoint from the list, if it is listed.
 func (pool *Pool) RemoveEndpoint(name string) {
 	row := pool.byName[name]
 	if row == nil {
@@ -148,7 +148,7 @@
 	}
 	at, _ := pool.find(name)
 	pool.rows = slices.Delete(pool.rows, at, at+1)
-	pool.forget(row)
+	pool.unindexRow(row)
 }
 
 func (pool *Pool) find(name string) (at int, found bool) {
@@ -159,77 +159,76 @@
 
 func (pool *Pool) newRow(entry bvplatform.Endpoint) *endpoint {
 	row := &endpoint{}
-	pool.identify(row, entry)
+	pool.setIdentity(row, entry)
 	return row
 }
 
-// renew takes over a newer entry of an endpoint. One that has started again keeps
-// nothing but its place.
-func (pool *Pool) renew(row *endpoint, entry bvplatform.Endpoint) (replaced []uint64) {
+// updateRow updates an endpoint's entry. A restarted endpoint loses its state and keeps
+// only its position in the list.
+func (pool *Pool) updateRow(row *endpoint, entry bvplatform.Endpoint) (replaced []uint64) {
 	if HashID(entry.ID()) == row.hash {
 		row.entry = entry
 		return nil
 	}
 	replaced = append(replaced, row.hash)
-	pool.forget(row)
+	pool.unindexRow(row)
 	*row = endpoint{}
-	pool.identify(row, entry)
+	pool.setIdentity(row, entry)
 	return replaced
 }
 
-func (pool *Pool) identify(row *endpoint, entry bvplatform.Endpoint) {
+func (pool *Pool) setIdentity(row *endpoint, entry bvplatform.Endpoint) {
 	row.entry, row.hash = entry, HashID(entry.ID())
-	pool.listChanged(nil)
+	pool.invalidateCaches(nil)
 	pool.byName[entry.Name], pool.byHash[row.hash] = row, row
 }
 
-// forget drops a row from all indexes.
-func (pool *Pool) forget(row *endpoint) {
+// unindexRow removes a row from all indexes.
+func (pool *Pool) unindexRow(row *endpoint) {
 	delete(pool.byName, row.entry.Name)
 	delete(pool.byHash, row.hash)
-	pool.listChanged(row)
+	pool.invalidateCaches(row)
 }
 
 // byID returns an endpoint's row, or nil.
 func (pool *Pool) byID(id string) *endpoint { return pool.byHash[HashID(id)] }
 
-// HashID names a start of an endpoint to other hosts, by its ID. What they tell of
-// an earlier start thus never counts for this one, however late it comes.
+// HashID returns the hash of an endpoint's ID, which identifies it between hosts. The ID
+// differs with each start, so late reports on an earlier start never count for this one.
 func HashID(id string) uint64 { return xxhash.Sum64String(id) }
 
 // Len returns how many endpoints are listed.
 func (pool *Pool) Len() int { return len(pool.rows) }
 
-// BeginCall notes that a call is sent to an endpoint. It returns the parts of its
+// BeginCall records that a call is sent to an endpoint. It returns the parts of its
 // prompt that are new there.
 func (pool *Pool) BeginCall(now bvclock.Time, id string, request *Request) []bvroute.Part {
-	pool.noteBeginning(now, request)
+	pool.recordPrefix(now, request)
 	row := pool.byID(id)
 	if row == nil {
 		return nil
 	}
 	row.running++
-	pool.noteRecent(row)
-	return row.cache.use(request.Prefix, row.entry.CacheTokens)
+	pool.recordRecent(row)
+	return row.cache.recordPrompt(request.Prefix, row.entry.CacheTokens)
 }
 
-// SetPeerLoads takes over how many calls the other hosts have at the endpoints
-// together, by the hash of the endpoint's ID.
+// SetPeerLoads sets how many calls all other hosts together have at each endpoint, by the
+// hash of the endpoint's ID.
 func (pool *Pool) SetPeerLoads(now bvclock.Time, loads map[uint64]int) {
 	for _, row := range pool.rows {
-		row.peers, row.peersAt = loads[row.hash], now
+		row.peerCalls, row.peerCallsAt = loads[row.hash], now
 	}
 }
 
-// AddPeerPlacement notes parts of prompts that another host sent to an endpoint.
+// AddPeerPlacement records parts of prompts that another host sent to an endpoint.
 func (pool *Pool) AddPeerPlacement(endpoint uint64, parts []bvroute.Part) {
 	if row := pool.byHash[endpoint]; row != nil {
-		row.cache.use(parts, row.entry.CacheTokens)
+		row.cache.recordPrompt(parts, row.entry.CacheTokens)
 	}
 }
 
-// RunningByEndpoint returns this host's calls under way, by the hash of the endpoint's
-// ID.
+// RunningByEndpoint returns this host's calls in flight, by the hash of the endpoint's ID.
 func (pool *Pool) RunningByEndpoint() map[uint64]int {
 	running := make(map[uint64]int)
 	for _, row := range pool.rows {
@@ -240,7 +239,7 @@
 	return running
 }
 
-// RunningAt returns how many calls of this host are under way at an endpoint, by the
+// RunningAt returns how many calls of this host are in flight at an endpoint, by the
 // hash of its ID.
 func (pool *Pool) RunningAt(endpoint uint64) int {
 	if row := pool.byHash[endpoint]; row != nil {
@@ -249,18 +248,18 @@
 	return 0
 }
 
-// EndCall notes how a call ended.
+// EndCall records the end of a call.
 func (pool *Pool) EndCall(now bvclock.Time, id string, result Result) {
 	row := pool.byID(id)
 	if row == nil {
 		return
 	}
 	row.running = max(row.running-1, 0)
-	row.endedAt = now
-	row.health.judge(now, result.Outcome)
-	report := reportOf(result)
-	row.seen.add(now, report)
-	row.unshared.add(report)
+	row.lastCallEnd = now
+	row.health.recordOutcome(now, result.Outcome)
+	report := reportFrom(result)
+	row.stats.add(now, report)
+	row.unsharedReport.add(report)
 	if result.Outcome != Served {
 		return
 	}
@@ -273,66 +272,66 @@
 	}
 }
 
-// ReadingRate returns how many prompt tokens the engines read in a millisecond, as
-// far as this host has learnt.
+// ReadingRate returns the number of prompt tokens that the engines read in a millisecond,
+// as estimated from this host's calls.
 func (pool *Pool) ReadingRate() float64 {
-	if pool.without.Has(bvmechanism.ReadingRate) {
-		return startRate
+	if pool.disabled.Has(bvmechanism.ReadingRate) {
+		return defaultReadingRate
 	}
 	return pool.reading.tokensPerMillisecond()
 }
 
-// AddPeerReport takes in another host's report, by the hash of the endpoint's ID.
+// AddPeerReport adds another host's report on an endpoint, by the hash of its ID.
 func (pool *Pool) AddPeerReport(now bvclock.Time, endpoint uint64, report OutcomeReport) {
 	if row := pool.byHash[endpoint]; row != nil {
-		row.seen.add(now, report)
+		row.stats.add(now, report)
 	}
 }
 
-// TakeOutcomeReports returns how this host's calls ended since the last look, by the hash of
-// the endpoint's ID.
+// TakeOutcomeReports returns the outcomes of this host's calls since the last report, by
+// the hash of the endpoint's ID, and clears them.
 func (pool *Pool) TakeOutcomeReports() map[uint64]OutcomeReport {
-	unshared := make(map[uint64]OutcomeReport)
+	reports := make(map[uint64]OutcomeReport)
 	for _, row := range pool.rows {
-		if row.unshared != (OutcomeReport{}) {
-			unshared[row.hash] = row.unshared
-			row.unshared = OutcomeReport{}
+		if row.unsharedReport != (OutcomeReport{}) {
+			reports[row.hash] = row.unsharedReport
+			row.unsharedReport = OutcomeReport{}
 		}
 	}
-	return unshared
+	return reports
 }
 
-// SetLoad takes over the load that an endpoint reports.
+// SetLoad sets the load that an endpoint reports.
 func (pool *Pool) SetLoad(now bvclock.Time, id string, load bvroute.Load) {
 	row := pool.byID(id)
 	if row == nil {
 		return
 	}
-	row.toldAt = now
-	row.others = max(load.Running+load.Waiting-row.running, 0)
+	row.reportedAt = now
+	row.reportedOthers = max(load.Running+load.Waiting-row.running, 0)
 	if load.Slots > 0 {
 		row.entry.Slots = load.Slots
 	}
 }
 
-// average is a moving average that follows within some tens of values.
+// average is an exponential moving average over some tens of values.
 type average struct {
-	value float64
-	known bool
+	value    float64
+	hasValue bool
 }
 
-const averageWeight = 0.05 // of a new value: about the last 20 count
+const averageWeight = 0.05 // of a new value: about the last 20 values count
 
 func (average *average) add(value float64) {
-	if !average.known {
-		average.value, average.known = value, true
+	if !average.hasValue {
+		average.value, average.hasValue = value, true
 		return
 	}
 	average.value += averageWeight * (value - average.value)
 }
 
-func (average *average) or(other float64) float64 {
-	if !average.known {
+func (average *average) valueOr(other float64) float64 {
+	if !average.hasValue {
 		return other
 	}
 	return average.value
--- a/bvdispatch/pool_test.go
+++ b/bvdispatch/pool_test.go
@@ -56,11 +56,11 @@
 	}
 }
 
-// Guards against cached parts that count though a part before them is missing.
+// Guards against cached parts that count although a part before them is missing.
 func TestPartBehindAMissingOneIsNotCached(t *testing.T) {
 	pool := newTestPool(1)
 	pool.BeginCall(0, "e0", prompt(2))
-	require.Zero(t, pool.rows[0].cache.cached(prompt(1, 2).Prefix))
+	require.Zero(t, pool.rows[0].cache.cachedTokens(prompt(1, 2).Prefix))
 }
 
 // Guards against a call that waits at a full engine for its cached prompt.
@@ -75,7 +75,7 @@
 	require.Equal(t, "e1", chosen.Name)
 }
 
-// Guards against an engine that looks idle though other hosts have filled it.
+// Guards against an engine that looks idle although other hosts have filled it.
 func TestOtherHostsCallsCount(t *testing.T) {
 	pool := newTestPool(2)
 	pool.SetPeerLoads(1, map[uint64]int{HashID("e0"): 12})
@@ -86,7 +86,8 @@
 	}
 }
 
-// Guards against prompts that are read again since another host placed them.
+// Guards against prompts that are read again because another host had sent their cached
+// parts.
 func TestPlacementOfAnotherHostIsUsed(t *testing.T) {
 	pool := newTestPool(4)
 	for _, part := range prompt(1, 2).Prefix {
@@ -108,8 +109,8 @@
 	}
 }
 
-// Guards against a failing engine that draws all calls since it has the fewest.
-func TestFailingEndpointIsLeftForAWhile(t *testing.T) {
+// Guards against a failing engine that attracts all calls because it has the fewest.
+func TestFailingEndpointIsPaused(t *testing.T) {
 	pool := newTestPool(2)
 	for range 3 {
 		pool.BeginCall(0, "e0", &Request{})
@@ -119,11 +120,11 @@
 		chosen, _ := pool.Choose(1, &Request{})
 		require.Equal(t, "e1", chosen.Name)
 	}
-	require.True(t, pool.byID("e0").open(bvclock.Time(0).Add(lastAway+1)))
+	require.True(t, pool.byID("e0").isOpen(bvclock.Time(0).Add(maxPause+1)))
 }
 
-// Guards against a host that refuses everything since all endpoints failed lately.
-func TestJudgementsNeverEmptyAPool(t *testing.T) {
+// Guards against a host that refuses all calls because all endpoints failed recently.
+func TestPausesNeverEmptyAPool(t *testing.T) {
 	pool := newTestPool(2)
 	for _, name := range []string{"e0", "e1"} {
 		for range 4 {
@@ -144,31 +145,31 @@
 func TestCacheEstimateStaysWithinTheEndpointsMemory(t *testing.T) {
 	var cache cache
 	for key := range uint64(100) {
-		cache.use(prompt(key).Prefix, 50_000)
+		cache.recordPrompt(prompt(key).Prefix, 50_000)
 		require.LessOrEqual(t, cache.tokens, 50_000)
 	}
-	require.Equal(t, 5000, cache.cached(prompt(99).Prefix))
-	require.Zero(t, cache.cached(prompt(1).Prefix))
+	require.Equal(t, 5000, cache.cachedTokens(prompt(99).Prefix))
+	require.Zero(t, cache.cachedTokens(prompt(1).Prefix))
 }
 
 func TestMoreUrgentRouteAndRunningProgramGoFirst(t *testing.T) {
 	require.Less(t, Urgency(0, false), Urgency(1, true))
 	require.Less(t, Urgency(1, true), Urgency(1, false))
-	require.LessOrEqual(t, Urgency(50, false), lastUrgency)
+	require.LessOrEqual(t, Urgency(50, false), maxUrgency)
 }
 
-// Guards against what is known of endpoints being lost with each reading of the list.
-func TestNewListKeepsWhatIsKnown(t *testing.T) {
+// Guards against a loss of the endpoints' state with each update of the list.
+func TestNewListKeepsTheStateOfEndpoints(t *testing.T) {
 	pool := newTestPool(2)
 	pool.BeginCall(0, "e0", prompt(1))
 	pool.SetEndpoints(engines(1))
 	require.Equal(t, 1, pool.Len())
 	require.Equal(t, 1, pool.byID("e0").running)
-	pool.EndCall(0, "e1", Result{Outcome: Served, Duration: 1}) // its call ends after it has gone
+	pool.EndCall(0, "e1", Result{Outcome: Served, Duration: 1}) // its call ends after it was removed
 }
 
-// Guards against a conversation that is read again though its turn names the engine.
-func TestTurnGoesWhereTheOneBeforeRan(t *testing.T) {
+// Guards against a conversation that is read again although its turn names the engine.
+func TestTurnGoesWhereThePreviousOneRan(t *testing.T) {
 	pool := newTestPool(8)
 	request := prompt(1, 2, 3)
 	request.HeldPrefix = HeldPrefix{Endpoint: HashID("e5"), Tokens: 12_000}
@@ -177,7 +178,8 @@
 	require.Equal(t, 12_000, request.CachedTokens)
 }
 
-// The engine that ran the turn before is gone, or has started again.
+// Guards against a turn without an endpoint after the engine of the previous turn was
+// removed or has restarted.
 func TestTurnWhoseFormerEngineIsGoneGoesAnywhere(t *testing.T) {
 	pool := newTestPool(2)
 	request := prompt(1, 2)
@@ -187,7 +189,7 @@
 	require.Zero(t, request.CachedTokens)
 }
 
-// Guards against conversations that move to whatever engine is idle for a moment.
+// Guards against conversations that move to any engine that is idle for a moment.
 func TestConversationDoesNotLeaveItsEngineForOneThatIsIdleAtTheMoment(t *testing.T) {
 	pool := newTestPool(8)
 	loads := make(map[uint64]int)
@@ -196,7 +198,7 @@
 	}
 	loads[HashID("e6")] = 0
 	pool.SetPeerLoads(1, loads)
-	pool.reading.rate = 110 // as these engines', once it is learnt
+	pool.reading.rate = 110 // the rate of these engines, once it is estimated
 	request := prompt(1, 2)
 	request.Prefix[1].Tokens, request.PromptTokens = 1500, 7100
 	pool.AddPeerPlacement(HashID("e1"), request.Prefix)
--- a/bvdispatch/reading.go
+++ b/bvdispatch/reading.go
@@ -7,99 +7,99 @@
 	"balsamvalve.example/bvclock"
 )
 
-// How fast the engines of a service read prompts is learnt from the calls that this
-// host sends there: the time from sending to the first event grows by it with each
-// token that is not cached. Engines differ by some times; taken for faster than they
-// are, conversations leave the engines that have them too easily.
+// The rate at which the engines of a service read (prefill) prompts is estimated from this
+// host's calls: the time to the first event grows with each token that is not cached.
+// Engines differ by a factor of several; if the rate is estimated too high, conversations
+// move too easily from the engines that have them cached.
 const (
-	// readingSamples are the calls that the estimate goes by. With few of them, chance
-	// delays of fast engines put it off by some times.
-	readingSamples = 512
-	// readingEvery is the number of calls between two estimates.
-	readingEvery = 32
-	// leastSpread is by how many tokens two calls must differ to be compared:
-	// fewer take less time than other calls' chance delays.
-	leastSpread = 256
-	// startRate is what is taken, in tokens a millisecond, until there is an
-	// estimate: that of fast engines. A host that has just started knows of few
-	// prompts where they are cached; if reading weighs much, its calls crowd at the
-	// engines that it knows.
-	startRate = 336
+	// maxReadingSamples is the number of calls that the estimate uses. With few of them,
+	// random delays at fast engines distort it by a factor of several.
+	maxReadingSamples = 512
+	// samplesPerEstimate is the number of new calls between two estimates.
+	samplesPerEstimate = 32
+	// minTokenSpread is the least difference in tokens between two calls that are
+	// compared: reading fewer takes less time than the random delays by other calls.
+	minTokenSpread = 256
+	// defaultReadingRate is the rate, in tokens a millisecond, that is assumed until there
+	// is an estimate: that of fast engines. A host that has just started knows for few
+	// prompts where they are cached; if reading weighed much, its calls would pile up at
+	// these engines.
+	defaultReadingRate = 336
 	// leastRate and mostRate bound the estimate, in tokens a millisecond.
-	leastRate = 1
-	mostRate  = 5000
+	minReadingRate = 1
+	maxReadingRate = 5000
 )
 
-// reading estimates how fast the engines of one service read. It compares calls
-// that read much with calls that read little and takes the median of the slopes,
-// so that up to a third of the calls may be off in any way: prompts that were
-// not cached though they should have been, engines that are slow or hang, and
-// calls that waited. The zero value knows nothing.
-type reading struct {
-	samples [readingSamples]readingSample
+// readingEstimator estimates how fast the engines of one service read prompts. It compares
+// calls that read many tokens with calls that read few and takes the median of the slopes,
+// so that up to a third of the calls may be outliers of any kind: prompts that were not
+// cached though they should have been, engines that are slow or hang, and calls that
+// waited. The zero value has no samples.
+type readingEstimator struct {
+	samples [maxReadingSamples]readingSample
 	count   int
-	rate    float64 // tokens a millisecond; 0: not known
+	rate    float64 // tokens a millisecond; 0: unknown
 }
 
 // readingSample is one call.
 type readingSample struct {
-	tokens int // that are thought not to have been cached
-	took   bvclock.Duration
+	tokens       int // that were estimated not to be cached
+	toFirstEvent bvclock.Duration
 }
 
-// add takes in how long a call took until its first event.
-func (reading *reading) add(tokens int, took bvclock.Duration) {
-	reading.samples[reading.count%readingSamples] = readingSample{tokens, took}
-	reading.count++
-	if reading.count%readingEvery == 0 {
-		reading.estimate()
+// add records the time of a call until its first event.
+func (estimator *readingEstimator) add(tokens int, toFirstEvent bvclock.Duration) {
+	estimator.samples[estimator.count%maxReadingSamples] = readingSample{tokens, toFirstEvent}
+	estimator.count++
+	if estimator.count%samplesPerEstimate == 0 {
+		estimator.estimate()
 	}
 }
 
 // estimate compares the samples of the lower half, by tokens, with those of the
 // upper half.
-func (reading *reading) estimate() {
-	sorted := slices.Clone(reading.samples[:min(reading.count, readingSamples)])
+func (estimator *readingEstimator) estimate() {
+	sorted := slices.Clone(estimator.samples[:min(estimator.count, maxReadingSamples)])
 	slices.SortFunc(sorted, func(a, b readingSample) int { return cmp.Compare(a.tokens, b.tokens) })
 	half := len(sorted) / 2
 	var slopes []slope
 	for i := range half {
 		few, many := sorted[i], sorted[len(sorted)-half+i]
-		if spread := many.tokens - few.tokens; spread >= leastSpread {
-			slopes = append(slopes, slope{float64(many.took-few.took) / float64(spread), float64(spread)})
+		if spread := many.tokens - few.tokens; spread >= minTokenSpread {
+			slopes = append(slopes, slope{float64(many.toFirstEvent-few.toFirstEvent) / float64(spread), float64(spread)})
 		}
 	}
-	if len(slopes) < readingEvery/4 {
-		return // calls differ too little to tell
+	if len(slopes) < samplesPerEstimate/4 {
+		return // the calls differ too little
 	}
-	reading.rate = 1 / min(max(weightedMedian(slopes), 1.0/mostRate), 1.0/leastRate)
+	estimator.rate = 1 / min(max(weightedMedian(slopes), 1.0/maxReadingRate), 1.0/minReadingRate)
 }
 
-// slope is what two calls say: milliseconds a token, the surer the more tokens lie
-// between them.
+// slope is the time per token, in milliseconds, that follows from two calls. Its weight is
+// the difference in tokens between them: the greater, the more reliable the slope.
 type slope struct {
 	value, weight float64
 }
 
 func weightedMedian(slopes []slope) float64 {
 	slices.SortFunc(slopes, func(a, b slope) int { return cmp.Compare(a.value, b.value) })
-	whole := 0.0
+	totalWeight := 0.0
 	for _, slope := range slopes {
-		whole += slope.weight
+		totalWeight += slope.weight
 	}
 	below := 0.0
 	for _, slope := range slopes {
-		if below += slope.weight; below >= whole/2 {
+		if below += slope.weight; below >= totalWeight/2 {
 			return slope.value
 		}
 	}
 	return 0
 }
 
-// tokensPerMillisecond is the rate to go by.
-func (reading *reading) tokensPerMillisecond() float64 {
-	if reading.rate == 0 {
-		return startRate
+// tokensPerMillisecond returns the estimated rate, or the default without an estimate.
+func (estimator *readingEstimator) tokensPerMillisecond() float64 {
+	if estimator.rate == 0 {
+		return defaultReadingRate
 	}
-	return reading.rate
+	return estimator.rate
 }
--- a/bvdispatch/restart_test.go
+++ b/bvdispatch/restart_test.go
@@ -10,13 +10,14 @@
 	"balsamvalve.example/bvroute"
 )
 
-// start is one start of an engine that keeps its name.
+// start returns the entry of one start of an engine, which keeps its name.
 func start(name, incarnation, address string) bvplatform.Endpoint {
 	return bvplatform.Endpoint{Name: name, Incarnation: incarnation, Address: address, Slots: 16, CacheTokens: 400_000}
 }
 
-// Guards against caches and failures of an engine's earlier start that still count.
-func TestEngineThatStartedAgainHoldsAndKnowsNothing(t *testing.T) {
+// Guards against a cache, load and failures of an engine's earlier start that still count
+// after its restart.
+func TestRestartedEngineHasNoCacheAndNoFailures(t *testing.T) {
 	pool := NewPool(1, "")
 	before := start("e0", "100", "10.0.0.1:1")
 	pool.SetEndpoints([]bvplatform.Endpoint{before})
@@ -29,13 +30,13 @@
 	replaced := pool.SetEndpoints([]bvplatform.Endpoint{after})
 	require.Equal(t, []uint64{HashID(before.ID())}, replaced)
 	row := pool.byID(after.ID())
-	require.Zero(t, row.cache.cached(prompt(1, 2).Prefix))
+	require.Zero(t, row.cache.cachedTokens(prompt(1, 2).Prefix))
 	require.Zero(t, row.load(1))
-	require.True(t, row.open(1))
+	require.True(t, row.isOpen(1))
 }
 
-// Guards against a late end of an earlier start's call that counts for the new start.
-func TestLateEndOfACallOfTheStartBeforeIsIgnored(t *testing.T) {
+// Guards against the end of a call to an earlier start that counts for the new start.
+func TestLateEndOfACallBeforeTheRestartIsIgnored(t *testing.T) {
 	pool := NewPool(1, "")
 	before, after := start("e0", "100", "10.0.0.1:1"), start("e0", "200", "10.0.0.1:1")
 	pool.SetEndpoints([]bvplatform.Endpoint{before})
@@ -46,33 +47,36 @@
 	pool.EndCall(1, before.ID(), Result{Outcome: Unreachable, Duration: 1})
 	row := pool.byID(after.ID())
 	require.Equal(t, 1, row.running)
-	require.True(t, row.open(1))
-	require.Zero(t, row.others)
+	require.True(t, row.isOpen(1))
+	require.Zero(t, row.reportedOthers)
 }
 
-// Another host's digest tells late what it had sent to the start before.
-func TestLatePlacementAtTheStartBeforeIsIgnored(t *testing.T) {
+// Guards against a late digest of another host, with placements and calls at an earlier
+// start, that counts for the new start.
+func TestLatePlacementBeforeTheRestartIsIgnored(t *testing.T) {
 	pool := NewPool(1, "")
 	before, after := start("e0", "100", "10.0.0.1:1"), start("e0", "200", "10.0.0.1:1")
 	pool.SetEndpoints([]bvplatform.Endpoint{after})
 	pool.AddPeerPlacement(HashID(before.ID()), prompt(1).Prefix)
 	pool.SetPeerLoads(1, map[uint64]int{HashID(before.ID()): 9})
-	require.Zero(t, pool.byID(after.ID()).cache.cached(prompt(1).Prefix))
+	require.Zero(t, pool.byID(after.ID()).cache.cachedTokens(prompt(1).Prefix))
 	require.Zero(t, pool.byID(after.ID()).load(1))
 }
 
-// Where no start is told, another address under the same name shows one.
-func TestEngineAtAnotherAddressIsAnotherStart(t *testing.T) {
+// Guards against a restart that is missed because the entry has no incarnation: another
+// address under the same name indicates it.
+func TestEngineAtAnotherAddressCountsAsRestarted(t *testing.T) {
 	pool := NewPool(1, "")
 	before, after := start("e0", "", "10.0.0.1:1"), start("e0", "", "10.0.0.2:1")
 	pool.SetEndpoints([]bvplatform.Endpoint{before})
 	pool.BeginCall(0, before.ID(), prompt(1))
 	pool.SetEndpoints([]bvplatform.Endpoint{after})
-	require.Zero(t, pool.byID(after.ID()).cache.cached(prompt(1).Prefix))
+	require.Zero(t, pool.byID(after.ID()).cache.cachedTokens(prompt(1).Prefix))
 }
 
-// Guards against crashes that only the list of endpoints shows.
-func TestEngineThatStartedAgainUnderARequestCountsAsCrashed(t *testing.T) {
+// Guards against a missed crash where only the list of endpoints shows that the engine has
+// restarted.
+func TestEngineThatRestartsDuringARequestCountsAsCrashed(t *testing.T) {
 	clock := &bvclock.Manual{}
 	dispatcher := NewDispatcher(clock, 1, "")
 	request := &Request{ContentHash: 7}
--- a/bvdispatch/sample.go
+++ b/bvdispatch/sample.go
@@ -2,79 +2,79 @@
 
 import "balsamvalve.example/bvmechanism"
 
-// Hosts decide by themselves, on what they heard of each other up to a tenth of
-// a second ago. In a crowd, an engine whose calls have just ended looks best to
-// all of them at once, and their calls wait there for each other. So in a crowd each
-// decision looks at a few endpoints only, drawn at random beside those that have
-// the conversation, and the rest of a tenth of a second's calls go elsewhere.
+// Hosts decide independently, on reports from each other that are up to a tenth of a second
+// old. Under contention, an engine whose calls have just ended looks best to all of them at
+// once, and their calls queue up there. So under contention each decision compares only a
+// few endpoints: those that have the conversation cached, and a random sample. The calls of
+// other decisions within the same tenth of a second then go elsewhere.
 const (
-	// sampleCached is how many are drawn, on average, of the endpoints that
-	// have the prompt's first part; sampleAll, of all.
-	sampleCached = 4
-	sampleAll    = 3
-	// crowdedShare is the share of the places of a service's endpoints from which
-	// samples are drawn: from about here on, calls wait for each other.
-	crowdedShare = 0.5
+	// cachedSampleSize is the average number of endpoints drawn from those that have the
+	// prompt's first part cached; sampleSize, from all.
+	cachedSampleSize = 4
+	sampleSize       = 3
+	// contendedShare is the load share of a service's endpoints from which samples are
+	// drawn: from about there on, calls wait for each other.
+	contendedShare = 0.5
 )
 
-// crowded reports whether the endpoints have little room left.
-func (snapshot snapshot) crowded() bool { return snapshot.share >= crowdedShare }
+// isContended reports whether calls are likely to wait for each other.
+func (snapshot snapshot) isContended() bool { return snapshot.loadShare >= contendedShare }
 
-// sample draws the endpoints that a decision looks at.
+// sample determines the endpoints that a decision compares.
 type sample struct {
-	pool    *Pool
-	request *Request
-	all     bool    // no need to draw
-	cached  float64 // share of those that have the prompt's first part
-	others  float64 // share of the others
-	first   *endpoint
-	among   map[uint64]int // the only ones, where not nil
+	pool           *Pool
+	request        *Request
+	all            bool    // every endpoint is included
+	cachedFraction float64 // probability for those that have the prompt's first part cached
+	otherFraction  float64 // probability for the others
+	firstInOrder   *endpoint
+	shortlist      map[uint64]int // if not nil, only these are included
 }
 
-// newSample prepares the drawing for a request. Calls that concern one object
-// spread by it.
+// newSample returns the sample for a request. Calls that concern an object need none, as
+// they spread by the object's rendezvous rank.
 func (pool *Pool) newSample(snapshot snapshot, request *Request, rows []*endpoint) sample {
 	sample := sample{pool: pool, request: request}
-	if request.Object != 0 || !snapshot.crowded() || pool.without.Has(bvmechanism.Samples) {
+	if request.Object != 0 || !snapshot.isContended() || pool.disabled.Has(bvmechanism.Samples) {
 		sample.all = true
 		return sample
 	}
-	cached, open := 0, 0
+	cachedRows, openRows := 0, 0
 	for _, row := range rows {
-		if !row.open(snapshot.now) || request.Excluded[row.entry.Name] {
+		if !row.isOpen(snapshot.now) || request.Excluded[row.entry.Name] {
 			continue
 		}
-		open++
-		if row.cache.cached(request.Prefix) > 0 {
-			cached++
+		openRows++
+		if row.cache.cachedTokens(request.Prefix) > 0 {
+			cachedRows++
 		}
-		if len(request.Prefix) > 0 && (sample.first == nil || row.affinity(request) < sample.first.affinity(request)) {
-			sample.first = row
+		if len(request.Prefix) > 0 && (sample.firstInOrder == nil || row.affinityRank(request) < sample.firstInOrder.affinityRank(request)) {
+			sample.firstInOrder = row
 		}
 	}
-	sample.cached = sampleCached / float64(max(cached, 1))
-	sample.others = sampleAll / float64(max(open, 1))
-	sample.all = open <= sampleAll
+	sample.cachedFraction = cachedSampleSize / float64(max(cachedRows, 1))
+	sample.otherFraction = sampleSize / float64(max(openRows, 1))
+	sample.all = openRows <= sampleSize
 	return sample
 }
 
-// has draws whether the decision looks at an endpoint. It always does at those
-// that have more of the prompt than its first part, and at the first one in the
-// order of the first part.
-func (sample *sample) has(row *endpoint) bool {
-	if sample.among != nil {
-		_, found := sample.among[row.hash]
+// includes draws whether an endpoint is in the sample. Always included are those that have
+// more of the prompt cached than its first part, and the one of the lowest rendezvous rank
+// for the first part.
+func (sample *sample) includes(row *endpoint) bool {
+	if sample.shortlist != nil {
+		_, found := sample.shortlist[row.hash]
 		return found
 	}
-	if sample.all || row == sample.first {
+	if sample.all || row == sample.firstInOrder {
 		return true
 	}
-	share := sample.others
-	if cached := row.cache.cached(sample.request.Prefix); cached > 0 {
+	fraction := sample.otherFraction
+	if cached := row.cache.cachedTokens(sample.request.Prefix); cached > 0 {
 		if cached > sample.request.Prefix[0].Tokens {
 			return true
 		}
-		share = max(share, sample.cached)
+		fraction = max(fraction, sample.cachedFraction)
 	}
-	return sample.pool.random.Float64() < share
+	return sample.pool.random.Float64() < fraction
 }
--- a/bvdispatch/sample_test.go
+++ b/bvdispatch/sample_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against many hosts that all send to the one engine that is known to be idle.
-func TestCrowdDoesNotFallOnOneIdleEndpoint(t *testing.T) {
+// Guards against many hosts that all send to the one engine that is reported idle.
+func TestSurgeDoesNotGoToOneIdleEndpoint(t *testing.T) {
 	const hosts, calls = 80, 100
 	pools := make([]*Pool, hosts)
 	loads := make(map[uint64]int)
@@ -35,8 +35,9 @@
 	}
 }
 
-// In a crowd too, a conversation goes on where it is cached.
-func TestCrowdDoesNotMoveConversations(t *testing.T) {
+// Guards against conversations that leave the engine where they are cached because, under
+// contention, it is not drawn.
+func TestContentionDoesNotMoveConversations(t *testing.T) {
 	pool := newTestPool(40)
 	loads := make(map[uint64]int)
 	for _, row := range pool.rows {
@@ -52,8 +53,8 @@
 	}
 }
 
-// Guards against an empty sample that sends a call to any endpoint.
-func TestEmptySampleIsNoBadChoice(t *testing.T) {
+// Guards against an empty sample after which a call goes to any endpoint, also a busy one.
+func TestEmptySampleStillChoosesACheapEndpoint(t *testing.T) {
 	pool := newTestPool(5)
 	loads := make(map[uint64]int)
 	for i, row := range pool.rows {
@@ -69,13 +70,13 @@
 	require.Less(t, reached["e0"], reached["e4"]/3)
 }
 
-// Samples are drawn once the endpoints fill up.
-func TestPoolIsCrowdedWhenHalfOfItsPlacesAreTaken(t *testing.T) {
+// Samples are drawn as soon as the pool is contended.
+func TestPoolIsContendedWhenHalfOfItsSlotsAreTaken(t *testing.T) {
 	pool := newTestPool(1)
 	for range 7 {
 		pool.BeginCall(0, "e0", &Request{})
 	}
-	require.False(t, snapshot{share: pool.share(0)}.crowded())
+	require.False(t, snapshot{loadShare: pool.loadShare(0)}.isContended())
 	pool.BeginCall(0, "e0", &Request{})
-	require.True(t, snapshot{share: pool.share(0)}.crowded())
+	require.True(t, snapshot{loadShare: pool.loadShare(0)}.isContended())
 }
--- a/bvdispatch/shortlist_test.go
+++ b/bvdispatch/shortlist_test.go
@@ -9,17 +9,17 @@
 	"balsamvalve.example/bvmechanism"
 )
 
-// fakeTrackers answer with fixed counts and note what they are told.
+// fakeTrackers answers with fixed counts and records queries and reports.
 type fakeTrackers struct {
-	counts map[uint64]int
-	asked  [][]uint64
-	used   map[uint64]int
-	held   map[uint64]HeldPrefix
-	wanted []uint64
+	counts        map[uint64]int
+	queries       [][]uint64
+	reported      map[uint64]int
+	held          map[uint64]HeldPrefix
+	holderQueries []uint64
 }
 
 func (trackers *fakeTrackers) QueryHolding(_, conversation uint64) (endpoint uint64, tokens int, found bool) {
-	trackers.wanted = append(trackers.wanted, conversation)
+	trackers.holderQueries = append(trackers.holderQueries, conversation)
 	held, found := trackers.held[conversation]
 	return held.Endpoint, held.Tokens, found
 }
@@ -32,7 +32,7 @@
 }
 
 func (trackers *fakeTrackers) QueryRunning(endpoints []uint64) map[uint64]int {
-	trackers.asked = append(trackers.asked, endpoints)
+	trackers.queries = append(trackers.queries, endpoints)
 	counts := make(map[uint64]int)
 	for _, endpoint := range endpoints {
 		if count, found := trackers.counts[endpoint]; found {
@@ -43,15 +43,15 @@
 }
 
 func (trackers *fakeTrackers) ReportRunning(endpoint uint64, running int) {
-	if trackers.used == nil {
-		trackers.used = make(map[uint64]int)
+	if trackers.reported == nil {
+		trackers.reported = make(map[uint64]int)
 	}
-	trackers.used[endpoint] = running
+	trackers.reported[endpoint] = running
 }
 
-// crowdedDispatcher is a dispatcher with engines that are thought to have ten of sixteen slots
-// taken each.
-func crowdedDispatcher(trackers Trackers) *Dispatcher {
+// busyDispatcher returns a dispatcher with engines that are reported to have ten of sixteen
+// slots taken each.
+func busyDispatcher(trackers Trackers) *Dispatcher {
 	clock := &bvclock.Manual{}
 	clock.Advance(bvclock.Minute)
 	dispatcher := NewDispatcher(clock, 1, "")
@@ -67,10 +67,11 @@
 	return dispatcher
 }
 
-// Guards against old digests by which hosts meet at full engines at a quarter of the load.
-func TestTrackersAreAskedLongBeforeACrowd(t *testing.T) {
+// Guards against hosts that, because digests are old, send their calls to the same engines
+// and fill them at a quarter of the load.
+func TestTrackersAreQueriedLongBeforeContention(t *testing.T) {
 	trackers := &fakeTrackers{}
-	dispatcher := crowdedDispatcher(trackers)
+	dispatcher := busyDispatcher(trackers)
 	loads := make(map[uint64]int)
 	for _, engine := range engines(5) {
 		loads[HashID(engine.ID())] = 4
@@ -78,30 +79,31 @@
 	dispatcher.SetPeerLoads(loads)
 	_, found := dispatcher.Choose("model", prompt(1, 2))
 	require.True(t, found)
-	require.Len(t, trackers.asked, 1)
+	require.Len(t, trackers.queries, 1)
 }
 
-// Guards against a call that ignores the one engine with room.
-func TestCallInACrowdGoesWhereTrackersTellOfRoom(t *testing.T) {
+// Guards against a call that ignores the one engine with free slots.
+func TestCallGoesWhereTrackersReportFreeSlots(t *testing.T) {
 	trackers := &fakeTrackers{counts: make(map[uint64]int)}
 	for _, engine := range engines(5) {
 		trackers.counts[HashID(engine.ID())] = 16
 	}
 	trackers.counts[HashID("e3")] = 2
-	dispatcher := crowdedDispatcher(trackers)
+	dispatcher := busyDispatcher(trackers)
 	for range 5 {
 		chosen, found := dispatcher.Choose("model", prompt(1, 2))
 		require.True(t, found)
 		require.Equal(t, "e3", chosen.Name)
 	}
-	require.Equal(t, 5, trackers.used[HashID("e3")])
+	require.Equal(t, 5, trackers.reported[HashID("e3")])
 	dispatcher.EndCall("model", "e3", prompt(1, 2), Result{Outcome: Served, Duration: 300})
-	require.Equal(t, 4, trackers.used[HashID("e3")])
+	require.Equal(t, 4, trackers.reported[HashID("e3")])
 }
 
-// All trackers are cut off. Calls go by what digests told.
+// Guards against a call without an endpoint when no tracker is reachable: decisions then
+// use the counts from digests.
 func TestCallIsSentThoughNoTrackerAnswers(t *testing.T) {
-	dispatcher := crowdedDispatcher(&fakeTrackers{})
+	dispatcher := busyDispatcher(&fakeTrackers{})
 	reached := make(map[string]bool)
 	for range 20 {
 		chosen, found := dispatcher.Choose("model", &Request{})
@@ -111,8 +113,9 @@
 	require.Greater(t, len(reached), 1)
 }
 
-// Guards against a tracker's late word that sends a call to an endpoint that left or refused.
-func TestTrackersWordDoesNotOpenAnEndpoint(t *testing.T) {
+// Guards against a tracker's late count that sends a call to an endpoint which was removed
+// or has refused the call.
+func TestTrackerCountsDoNotReopenAnEndpoint(t *testing.T) {
 	pool := newTestPool(3)
 	request := prompt(1, 2)
 	request.Excluded = map[string]bool{"e0": true}
@@ -122,24 +125,25 @@
 	require.NotEqual(t, "e0", chosen.Name)
 }
 
-// While nearly all engines are idle, any will do, and asking would only cost time.
-func TestNobodyIsAskedWhileEnginesAreIdle(t *testing.T) {
+// Guards against needless queries: while nearly all engines are idle, any of them will do,
+// and a query only costs time.
+func TestNoTrackerIsQueriedWhileEnginesAreIdle(t *testing.T) {
 	trackers := &fakeTrackers{}
-	dispatcher := crowdedDispatcher(trackers)
+	dispatcher := busyDispatcher(trackers)
 	dispatcher.SetPeerLoads(nil)
 	_, found := dispatcher.Choose("model", prompt(1, 2))
 	require.True(t, found)
-	require.Empty(t, trackers.asked)
+	require.Empty(t, trackers.queries)
 }
 
-func TestWithoutProbesNobodyIsAskedOrTold(t *testing.T) {
+func TestWithoutProbesTrackersAreNotUsed(t *testing.T) {
 	trackers := &fakeTrackers{}
-	dispatcher := crowdedDispatcher(trackers)
+	dispatcher := busyDispatcher(trackers)
 	dispatcher.Disable(bvmechanism.Set(0).With(bvmechanism.Probes))
 	_, found := dispatcher.Choose("model", prompt(1, 2))
 	require.True(t, found)
-	require.Empty(t, trackers.asked)
-	require.Empty(t, trackers.used)
+	require.Empty(t, trackers.queries)
+	require.Empty(t, trackers.reported)
 }
 
 // Guards against a shortlist that misses the engine with the conversation.
@@ -153,15 +157,16 @@
 	pool.BeginCall(1, "e7", prompt(1, 2))
 	for range 50 {
 		shortlist := pool.Shortlist(1, prompt(1, 2, 3))
-		require.LessOrEqual(t, len(shortlist), shortlisted)
+		require.LessOrEqual(t, len(shortlist), shortlistSize)
 		require.Contains(t, shortlist, HashID("e7"))
 	}
 }
 
-// Guards against a conversation that is read again since no digest has told of it yet.
+// Guards against a conversation that is read again because no digest has reported its
+// engine yet.
 func TestTurnFollowsItsConversationThroughAnotherHost(t *testing.T) {
 	trackers := &fakeTrackers{}
-	here, there := crowdedDispatcher(trackers), crowdedDispatcher(trackers)
+	here, there := busyDispatcher(trackers), busyDispatcher(trackers)
 	for conversation := uint64(1); conversation < 30; conversation++ {
 		first := prompt(conversation%3, 1000+conversation)
 		first.Program, first.Conversation = conversation, conversation
@@ -177,10 +182,10 @@
 	}
 }
 
-// Guards against asking a tracker again that has already said that it knows nothing.
-func TestTrackerOfANewProgramIsAskedOnce(t *testing.T) {
+// Guards against a second query to a tracker that has answered that it knows no holder.
+func TestTrackerOfANewProgramIsQueriedOnce(t *testing.T) {
 	trackers := &fakeTrackers{}
-	dispatcher := crowdedDispatcher(trackers)
+	dispatcher := busyDispatcher(trackers)
 	request := prompt(1, 2)
 	request.Program, request.Conversation = 7, 7
 	require.False(t, dispatcher.HasEarlierTurns(request))
@@ -188,14 +193,14 @@
 		_, found := dispatcher.Choose("model", request)
 		require.True(t, found)
 	}
-	require.Len(t, trackers.wanted, 1)
+	require.Len(t, trackers.holderQueries, 1)
 }
 
-// Calls of plain services belong to no conversation that an engine has.
-func TestCallsOfServicesAskForNoHolder(t *testing.T) {
+// Guards against needless queries: calls to plain services belong to no conversation.
+func TestCallsOfPlainServicesQueryNoHolder(t *testing.T) {
 	trackers := &fakeTrackers{}
-	dispatcher := crowdedDispatcher(trackers)
+	dispatcher := busyDispatcher(trackers)
 	_, found := dispatcher.Choose("model", &Request{})
 	require.True(t, found)
-	require.Empty(t, trackers.wanted)
+	require.Empty(t, trackers.holderQueries)
 }
--- a/bvdispatch/urgency.go
+++ b/bvdispatch/urgency.go
@@ -1,20 +1,20 @@
 package bvdispatch
 
-// Ranks among an engine's waiting requests.
+// Urgencies of an engine's waiting requests.
 const (
-	firstUrgency = 1
-	lastUrgency  = 9
-	// rankStep leaves a place between two route priorities.
-	rankStep = 2
+	minUrgency = 1
+	maxUrgency = 9
+	// priorityStep leaves one urgency between two route priorities, for new programs.
+	priorityStep = 2
 )
 
-// Urgency is the rank of a call among those that wait at an engine, 0 first.
-// The route's priority decides; within it, programs that are under way go
-// before new ones, since a half-done program that comes late is lost work.
-func Urgency(priority int, continues bool) int {
-	urgency := firstUrgency + rankStep*priority
-	if !continues {
+// Urgency returns the rank of a call among those that wait at an engine; the lowest goes
+// first. The route's priority decides; within it, programs that have started go before
+// new ones, since work on a started program that finishes late is wasted.
+func Urgency(priority int, hasEarlierTurns bool) int {
+	urgency := minUrgency + priorityStep*priority
+	if !hasEarlierTurns {
 		urgency++
 	}
-	return min(urgency, lastUrgency)
+	return min(urgency, maxUrgency)
 }
