--- a/bvhistory/chain.go
+++ b/bvhistory/chain.go
@@ -2,11 +2,12 @@
 
 import "slices"
 
-// Chain is a conversation so far, oldest turn first. The zero value is one that
-// begins.
+// Chain is the conversation up to now, oldest turn first. The zero value is a new
+// conversation.
 type Chain []*Turn
 
-// Prompt returns what the engine is to get: all that was said, and the input.
+// Prompt returns the prompt for the engine: all previous inputs and outputs, followed
+// by the new input.
 func (chain Chain) Prompt(input []byte) []byte {
 	size := len(input)
 	for _, turn := range chain {
@@ -20,7 +21,7 @@
 	return append(prompt, input...)
 }
 
-// Placement tells where the last turn was run.
+// Placement returns where the last turn ran.
 func (chain Chain) Placement() Placement {
 	if len(chain) == 0 {
 		return Placement{}
@@ -28,8 +29,9 @@
 	return chain[len(chain)-1].Placement
 }
 
-// endsWith reports whether the chain is whole and its last turn is the named one.
-func (chain Chain) endsWith(last string) bool {
+// isCompleteUpTo reports whether the chain has all its turns and ends with the named
+// one.
+func (chain Chain) isCompleteUpTo(last string) bool {
 	if len(chain) == 0 || chain[len(chain)-1].ID != last {
 		return false
 	}
@@ -40,7 +42,7 @@
 	return slices.Equal(ids, chain[len(chain)-1].Ancestors)
 }
 
-// Encode writes the chain for another host.
+// Encode serializes the chain to be sent to another host.
 func (chain Chain) Encode() []byte {
 	var encoded []byte
 	for _, turn := range chain {
@@ -50,7 +52,7 @@
 	return encoded
 }
 
-// DecodeChain reads a chain that Encode wrote.
+// DecodeChain parses the output of Encode.
 func DecodeChain(encoded []byte) (Chain, error) {
 	var chain Chain
 	reader := reader{rest: encoded}
--- a/bvhistory/history_test.go
+++ b/bvhistory/history_test.go
@@ -16,14 +16,14 @@
 	"balsamvalve.example/bvverdict"
 )
 
-// store loses the answers of the first commits, or of all reads.
-type store struct {
+// faultyStore loses the answers of the first commits, or fails all reads.
+type faultyStore struct {
 	bvplatform.Memory
 	loseCommits int
 	down        bool
 }
 
-func (store *store) Commit(ctx context.Context, transaction bvplatform.Transaction) (int64, error) {
+func (store *faultyStore) Commit(ctx context.Context, transaction bvplatform.Transaction) (int64, error) {
 	version, err := store.Memory.Commit(ctx, transaction)
 	if store.loseCommits > 0 {
 		store.loseCommits--
@@ -32,22 +32,22 @@
 	return version, err
 }
 
-func (store *store) Read(ctx context.Context, keys ...string) ([]bvplatform.Row, error) {
+func (store *faultyStore) Read(ctx context.Context, keys ...string) ([]bvplatform.Row, error) {
 	if store.down {
 		return nil, bvplatform.ErrUnavailable
 	}
 	return store.Memory.Read(ctx, keys...)
 }
 
-// noPeers are other hosts that have nothing at hand.
+// noPeers implements Peers for hosts that have nothing cached.
 type noPeers struct{}
 
 func (noPeers) Chain(context.Context, string, string) Chain { return nil }
 
-// fewPeers are other hosts that answer with a store's turns, as they travel.
-type fewPeers struct{ store *Store }
+// storePeers implements Peers with the cached turns of a store, in their encoded form.
+type storePeers struct{ store *Store }
 
-func (peers fewPeers) Chain(_ context.Context, _, turn string) Chain {
+func (peers storePeers) Chain(_ context.Context, _, turn string) Chain {
 	chain, err := DecodeChain(peers.store.CachedChain(turn).Encode())
 	if err != nil {
 		return nil
@@ -55,31 +55,31 @@
 	return chain
 }
 
-// Guards against a conversation that stops while the store is away.
+// Guards against a conversation that stops while the store is unavailable.
 func TestConversationIsTakenFromAnotherHost(t *testing.T) {
-	shared := &store{}
+	shared := &faultyStore{}
 	first := newTestStore(shared)
-	say(t, first, "", "t1", "a", "b\n")
-	say(t, first, "t1", "t2", "c", "d\n")
+	addTurn(t, first, "", "t1", "a", "b\n")
+	addTurn(t, first, "t1", "t2", "c", "d\n")
 	shared.down = true
 	second := newTestStore(shared)
-	second.peers = fewPeers{first}
+	second.peers = storePeers{first}
 	chain, err := second.Chain(t.Context(), "p", "t2")
 	require.NoError(t, err)
 	require.Equal(t, "ab\ncd\n", string(chain.Prompt(nil)))
 	second.peers = noPeers{}
 	_, err = second.Chain(t.Context(), "p", "t2")
-	require.NoError(t, err, "it is at hand from then on")
+	require.NoError(t, err, "it is cached from then on")
 }
 
-// Guards against an engine that gets a part of a conversation, or another one.
-func TestConversationThatIsNotWholeIsNotTaken(t *testing.T) {
+// Guards against an engine that receives an incomplete conversation, or another one.
+func TestIncompleteConversationIsNotUsed(t *testing.T) {
 	turns := Chain{{ID: "t1"}, {ID: "t2", Ancestors: []string{"t1"}}, {ID: "t3", Ancestors: []string{"t1", "t2"}}}
-	require.True(t, turns.endsWith("t3"))
-	require.False(t, turns.endsWith("t2"))
-	require.False(t, turns[1:].endsWith("t3"))
-	require.False(t, Chain{turns[0], turns[2]}.endsWith("t3"))
-	require.False(t, Chain{}.endsWith("t3"))
+	require.True(t, turns.isCompleteUpTo("t3"))
+	require.False(t, turns.isCompleteUpTo("t2"))
+	require.False(t, turns[1:].isCompleteUpTo("t3"))
+	require.False(t, Chain{turns[0], turns[2]}.isCompleteUpTo("t3"))
+	require.False(t, Chain{}.isCompleteUpTo("t3"))
 	_, err := DecodeChain(turns.Encode()[:8])
 	require.Error(t, err)
 }
@@ -90,47 +90,47 @@
 	return NewStore(store, noPeers{}, 4096, log)
 }
 
-func say(t *testing.T, store *Store, parent, id, input, output string) {
+func addTurn(t *testing.T, store *Store, parent, id, input, output string) {
 	t.Helper()
 	chain, err := store.Chain(t.Context(), "p", parent)
 	require.NoError(t, err)
-	said := FinishedTurn{ID: id, Input: []byte(input), Output: []byte(output), Retain: bvclock.Minute}
-	require.NoError(t, store.Add(t.Context(), chain, said))
+	finished := FinishedTurn{ID: id, Input: []byte(input), Output: []byte(output), Retain: bvclock.Minute}
+	require.NoError(t, store.Add(t.Context(), chain, finished))
 }
 
-func TestPromptIsAllThatWasSaidAndTheNewInput(t *testing.T) {
-	store := newTestStore(&store{})
-	say(t, store, "", "t1", "hello ", "one\ntwo\n")
-	say(t, store, "t1", "t2", "again ", "three\n")
+func TestPromptIsTheHistoryAndTheNewInput(t *testing.T) {
+	store := newTestStore(&faultyStore{})
+	addTurn(t, store, "", "t1", "hello ", "one\ntwo\n")
+	addTurn(t, store, "t1", "t2", "again ", "three\n")
 	chain, err := store.Chain(t.Context(), "p", "t2")
 	require.NoError(t, err)
 	require.Equal(t, "hello one\ntwo\nagain three\nmore", string(chain.Prompt([]byte("more"))))
 }
 
-// Guards against a conversation that is lost with its host, or with all.
+// Guards against a conversation that is lost when its host or all hosts fail.
 func TestAnotherHostFindsTheConversation(t *testing.T) {
-	shared := &store{}
+	shared := &faultyStore{}
 	first := newTestStore(shared)
-	say(t, first, "", "t1", "a", "b\n")
-	say(t, first, "t1", "t2", "c", "d\n")
+	addTurn(t, first, "", "t1", "a", "b\n")
+	addTurn(t, first, "t1", "t2", "c", "d\n")
 	chain, err := newTestStore(shared).Chain(t.Context(), "p", "t2")
 	require.NoError(t, err)
 	require.Equal(t, "ab\ncd\n", string(chain.Prompt(nil)))
 }
 
 func TestTwoTurnsMayContinueTheSameTurn(t *testing.T) {
-	store := newTestStore(&store{})
-	say(t, store, "", "t1", "a", "b\n")
-	say(t, store, "t1", "left", "l", "1\n")
-	say(t, store, "t1", "right", "r", "2\n")
+	store := newTestStore(&faultyStore{})
+	addTurn(t, store, "", "t1", "a", "b\n")
+	addTurn(t, store, "t1", "left", "l", "1\n")
+	addTurn(t, store, "t1", "right", "r", "2\n")
 	chain, err := store.Chain(t.Context(), "p", "right")
 	require.NoError(t, err)
 	require.Equal(t, "ab\nr2\n", string(chain.Prompt(nil)))
 }
 
-// Guards against a host that calls a turn unknown without the store's word.
-func TestUnknownTurnIsSaidOnlyByTheStore(t *testing.T) {
-	shared := &store{}
+// Guards against a host that reports a turn as unknown without an answer of the store.
+func TestTurnIsUnknownOnlyIfTheStoreAnswers(t *testing.T) {
+	shared := &faultyStore{}
 	_, err := newTestStore(shared).Chain(t.Context(), "p", "nobody")
 	require.Equal(t, bvverdict.UnknownRequest, bvverdict.From(err).Code())
 	shared.down = true
@@ -139,72 +139,73 @@
 	require.Positive(t, bvverdict.From(err).RetryAfter())
 }
 
-// partlyAway is a store of which some parts answer nothing.
-type partlyAway struct {
-	store
-	away map[string]bool // by part
+// partlyUnavailable is a store of which some shards don't answer.
+type partlyUnavailable struct {
+	faultyStore
+	downShards map[string]bool // by the shard's name in keys
 }
 
-func (store *partlyAway) has(key string) bool {
-	return !store.away[strings.Split(key, "/")[1]]
+func (store *partlyUnavailable) isShardUp(key string) bool {
+	return !store.downShards[strings.Split(key, "/")[1]]
 }
 
-func (store *partlyAway) Commit(ctx context.Context, transaction bvplatform.Transaction) (int64, error) {
-	if !store.has(transaction.Puts[0].Key) {
+func (store *partlyUnavailable) Commit(ctx context.Context, transaction bvplatform.Transaction) (int64, error) {
+	if !store.isShardUp(transaction.Puts[0].Key) {
 		return 0, bvplatform.ErrUnknown
 	}
-	return store.store.Commit(ctx, transaction)
+	return store.faultyStore.Commit(ctx, transaction)
 }
 
-func (store *partlyAway) Read(ctx context.Context, keys ...string) ([]bvplatform.Row, error) {
-	if !store.has(keys[0]) {
+func (store *partlyUnavailable) Read(ctx context.Context, keys ...string) ([]bvplatform.Row, error) {
+	if !store.isShardUp(keys[0]) {
 		return nil, bvplatform.ErrUnavailable
 	}
-	return store.store.Read(ctx, keys...)
+	return store.faultyStore.Read(ctx, keys...)
 }
 
-// Guards against a turn that is lost while its part of the store is away.
-func TestTurnIsKeptWhileItsPartOfTheStoreIsAway(t *testing.T) {
-	shared := &partlyAway{away: map[string]bool{strings.Split(key("t1", 0, 0), "/")[1]: true}}
-	say(t, newTestStore(shared), "", "t1", "a", "b\n")
+// Guards against a turn that is lost while its shard of the store is unavailable.
+func TestTurnIsPersistedWhileItsShardIsUnavailable(t *testing.T) {
+	shared := &partlyUnavailable{downShards: map[string]bool{strings.Split(rowKey("t1", 0, 0), "/")[1]: true}}
+	addTurn(t, newTestStore(shared), "", "t1", "a", "b\n")
 	chain, err := newTestStore(shared).Chain(t.Context(), "p", "t1")
-	require.NoError(t, err, "while the part is still away")
+	require.NoError(t, err, "while the shard is still unavailable")
 	require.Equal(t, "ab\n", string(chain.Prompt(nil)))
-	shared.away = nil
+	shared.downShards = nil
 	_, err = newTestStore(shared).Chain(t.Context(), "p", "t1")
-	require.NoError(t, err, "when the part is back")
+	require.NoError(t, err, "when the shard is available again")
 }
 
-// One of the places of a turn can't be read: nobody can say that there is none.
-func TestTurnIsNotUnknownWhileOneOfItsPlacesIsAway(t *testing.T) {
-	for place := range places {
-		shared := &partlyAway{away: map[string]bool{strings.Split(key("t1", place, 0), "/")[1]: true}}
+// Guards against a turn that is reported as unknown although one of its candidate
+// shards could not be read and may hold it.
+func TestTurnIsNotUnknownWhileOneOfItsShardsIsUnavailable(t *testing.T) {
+	for candidate := range candidateShards {
+		shared := &partlyUnavailable{downShards: map[string]bool{strings.Split(rowKey("t1", candidate, 0), "/")[1]: true}}
 		_, err := newTestStore(shared).Chain(t.Context(), "p", "t1")
 		require.Equal(t, bvverdict.PlatformUnavailable, bvverdict.From(err).Code())
 	}
 }
 
-// Guards against a turn that stands twice, or not at all, after a lost answer.
+// Guards against a turn that is stored twice, or not at all, after a lost answer.
 func TestLostAnswerIsWrittenAgain(t *testing.T) {
-	shared := &store{loseCommits: 2}
-	say(t, newTestStore(shared), "", "t1", "a", "b\n")
+	shared := &faultyStore{loseCommits: 2}
+	addTurn(t, newTestStore(shared), "", "t1", "a", "b\n")
 	chain, err := newTestStore(shared).Chain(t.Context(), "p", "t1")
 	require.NoError(t, err)
 	require.Len(t, chain, 1)
 }
 
-// Guards against a turn that is reported as complete and is not kept.
-func TestTurnThatCantBeKeptIsNoCompleteTurn(t *testing.T) {
+// Guards against a turn that is reported as complete but is not persisted.
+func TestTurnThatCantBePersistedIsAnError(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	store := newTestStore(&store{loseCommits: 1000})
+	store := newTestStore(&faultyStore{loseCommits: 1000})
 	require.Error(t, store.Add(ctx, nil, FinishedTurn{ID: "t1"}))
 }
 
 func TestLongTurnIsSplitIntoRows(t *testing.T) {
-	shared := &store{}
+	shared := &faultyStore{}
 	long := strings.Repeat("long text ", 3000)
-	say(t, newTestStore(shared), "", "t1", long, "end\n")
+	addTurn(t, newTestStore(shared), "", "t1", long, "end\n")
 	chain, err := newTestStore(shared).Chain(t.Context(), "p", "t1")
 	require.NoError(t, err)
 	require.Equal(t, long+"end\n", string(chain.Prompt(nil)))
@@ -213,12 +214,12 @@
 // Guards against a long conversation that needs a row which has expired.
 func TestLongConversationNeedsNoExpiredRow(t *testing.T) {
 	now := int64(1000)
-	said := FinishedTurn{ID: "t", Input: []byte("x"), Output: []byte("y\n"), Retain: bvclock.Minute}
+	finished := FinishedTurn{ID: "t", Input: []byte("x"), Output: []byte("y\n"), Retain: bvclock.Minute}
 	var chain Chain
 	for range 40 {
-		turn := newTurn(chain, said, now)
+		turn := newTurn(chain, finished, now)
 		for _, ancestor := range chain[len(chain)-len(turn.Ancestors):] {
-			require.GreaterOrEqual(t, ancestor.Expires, now+60, "an ancestor lapses while the turn is kept")
+			require.GreaterOrEqual(t, ancestor.Expires, now+60, "an ancestor expires while the turn is retained")
 		}
 		if len(turn.Ancestors) == 0 {
 			require.Equal(t, string(chain.Prompt([]byte("x"))), string(turn.Input))
@@ -230,11 +231,11 @@
 }
 
 func TestCacheStaysWithinItsBytes(t *testing.T) {
-	store := newTestStore(&store{})
+	store := newTestStore(&faultyStore{})
 	for i := range 100 {
-		store.remember(&Turn{ID: string(rune('a' + i)), Input: make([]byte, 200_000)})
+		store.cacheTurn(&Turn{ID: string(rune('a' + i)), Input: make([]byte, 200_000)})
 	}
-	require.LessOrEqual(t, store.bytes, cacheBytes)
+	require.LessOrEqual(t, store.cachedBytes, cacheBytes)
 	require.Positive(t, store.cache.Len())
 }
 
@@ -260,54 +261,55 @@
 	})
 }
 
-// ranBytes is what a Placement without an endpoint takes in a row.
-const ranBytes = 2
+// emptyPlacementBytes is the length of an encoded Placement without an endpoint.
+const emptyPlacementBytes = 2
 
-func TestRowThatIsCutOffIsAnError(t *testing.T) {
+func TestTruncatedRowIsAnError(t *testing.T) {
 	encoded := (&Turn{ID: "t", Ancestors: []string{"a"}, Input: []byte("in"), Output: []byte("out")}).encode()
 	for length := range encoded {
-		if length == len(encoded)-ranBytes {
-			continue // whole, as earlier versions wrote it: TestRowThatDoesNotTellWhereItRanIsRead
+		if length == len(encoded)-emptyPlacementBytes {
+			continue // complete, as earlier versions wrote it: TestRowWithoutPlacementIsRead
 		}
 		_, err := decodeTurn("t", encoded[:length])
 		require.Error(t, err, "of %d bytes", length)
 	}
 }
 
-// Turns are swept when nothing can need them any more, with all their rows.
-func TestExpiredTurnIsSweptWhole(t *testing.T) {
-	shared := &store{}
+// Guards against a sweep that removes turns which are still needed, or leaves rows of
+// expired ones.
+func TestSweepRemovesAllRowsOfAnExpiredTurn(t *testing.T) {
+	shared := &faultyStore{}
 	store := newTestStore(shared)
-	gone := &Turn{ID: "gone", Expires: 1, Input: make([]byte, 10_000)}
-	kept := newTurn(nil, FinishedTurn{ID: "kept", Retain: bvclock.Minute}, time.Now().Unix())
-	for _, turn := range []*Turn{gone, kept} {
-		_, err := shared.Memory.Commit(t.Context(), bvplatform.Transaction{Puts: store.rows(turn, 0)})
+	expired := &Turn{ID: "gone", Expires: 1, Input: make([]byte, 10_000)}
+	current := newTurn(nil, FinishedTurn{ID: "kept", Retain: bvclock.Minute}, time.Now().Unix())
+	for _, turn := range []*Turn{expired, current} {
+		_, err := shared.Memory.Commit(t.Context(), bvplatform.Transaction{Puts: store.encodeRows(turn, 0)})
 		require.NoError(t, err)
 	}
 	removed := 0
-	for range 40 * shards { // parts are drawn at random
+	for range 40 * shards { // shards are chosen at random
 		count, err := store.Sweep(t.Context())
 		require.NoError(t, err)
 		removed += count
 	}
-	require.Equal(t, len(store.rows(gone, 0)), removed)
+	require.Equal(t, len(store.encodeRows(expired, 0)), removed)
 	_, err := newTestStore(shared).Chain(t.Context(), "p", "kept")
 	require.NoError(t, err)
 }
 
-// Guards against a line for each try to keep a turn.
-func TestTurnThatIsNotKeptYetIsToldOnce(t *testing.T) {
+// Guards against a log line for each attempt to persist a turn.
+func TestRetriedTurnIsLoggedOnce(t *testing.T) {
 	var lines bytes.Buffer
 	log := logrus.New()
 	log.SetOutput(&lines)
-	store := NewStore(&store{loseCommits: 5}, noPeers{}, 1<<16, log)
+	store := NewStore(&faultyStore{loseCommits: 5}, noPeers{}, 1<<16, log)
 	require.NoError(t, store.Add(t.Context(), nil, FinishedTurn{ID: "t1", Retain: bvclock.Minute}))
 	require.Equal(t, 1, strings.Count(lines.String(), "turn not kept yet"))
 	require.Equal(t, 1, strings.Count(lines.String(), "turn kept after all"))
 }
 
-// Guards against a next turn that does not know where the engine's cache is warm.
-func TestWhereATurnRanIsKept(t *testing.T) {
+// Guards against a next turn that is not sent to the engine whose cache is warm.
+func TestPlacementOfATurnIsPersisted(t *testing.T) {
 	turn := &Turn{ID: "t", ChainStart: 1, Expires: 2, Input: []byte("in"), Output: []byte("out\n"), Placement: Placement{Endpoint: 1 << 63, Tokens: 4711}}
 	decoded, err := decodeTurn("t", turn.encode())
 	require.NoError(t, err)
@@ -317,11 +319,11 @@
 	require.Equal(t, turn.Placement, chain.Placement())
 }
 
-// During an update, rows are there that an earlier version wrote.
-func TestRowThatDoesNotTellWhereItRanIsRead(t *testing.T) {
+// Guards against rows of an earlier version that can't be read during an update.
+func TestRowWithoutPlacementIsRead(t *testing.T) {
 	turn := &Turn{ID: "t", Input: []byte("in"), Output: []byte("out\n")}
 	encoded := turn.encode()
-	decoded, err := decodeTurn("t", encoded[:len(encoded)-ranBytes])
+	decoded, err := decodeTurn("t", encoded[:len(encoded)-emptyPlacementBytes])
 	require.NoError(t, err)
 	require.Equal(t, turn, decoded)
 }
--- a/bvhistory/row.go
+++ b/bvhistory/row.go
@@ -11,47 +11,48 @@
 	"balsamvalve.example/bvplatform"
 )
 
-// key is where a piece of a turn stands, in one of its places.
-func key(id string, place, piece int) string {
-	part := (xxhash.Sum64String(id) >> (placeBits * place)) % shards
-	base := fmt.Sprintf("history/%02x/%s", part, id)
-	if piece == 0 {
+// rowKey returns the key of one chunk of a turn in one of its candidate shards.
+func rowKey(id string, candidate, chunk int) string {
+	shard := (xxhash.Sum64String(id) >> (candidateBits * candidate)) % shards
+	base := fmt.Sprintf("history/%02x/%s", shard, id)
+	if chunk == 0 {
 		return base
 	}
-	return fmt.Sprintf("%s+%d", base, piece)
+	return fmt.Sprintf("%s+%d", base, chunk)
 }
 
-// placeBits is how many bits of a turn's hash choose its part in one place.
-const placeBits = 8
+// candidateBits is the number of bits of a turn's hash that select one candidate
+// shard.
+const candidateBits = 8
 
-// base64Share is the part of a row that a value may fill, in case that a row's
-// limit counts the encoded bytes.
+// base64Share is the share of a row's limit that a value may fill, in case the
+// limit counts the base64-encoded bytes.
 const base64Share = 0.74
 
-// headBytes is what each row begins with: how many rows the turn has, in one
-// byte, and when they expire, in eight.
-const headBytes = 9
+// headerBytes is the length of the header of each row: the number of rows of the
+// turn, in one byte, and their time of expiry, in eight.
+const headerBytes = 9
 
-// rows splits a turn into the rows of one of its places.
-func (store *Store) rows(turn *Turn, place int) []bvplatform.Put {
+// encodeRows splits a turn into rows for one of its candidate shards.
+func (store *Store) encodeRows(turn *Turn, candidate int) []bvplatform.Put {
 	encoded := turn.encode()
 	limit := max(int(float64(store.rowBytes)*base64Share), 1<<10)
 	count := (len(encoded) + limit - 1) / limit
 	puts := make([]bvplatform.Put, 0, count)
-	for piece := range count {
+	for chunk := range count {
 		value := binary.BigEndian.AppendUint64([]byte{byte(count)}, uint64(turn.Expires))
-		value = append(value, encoded[piece*limit:min((piece+1)*limit, len(encoded))]...)
-		puts = append(puts, bvplatform.Put{Key: key(turn.ID, place, piece), Value: value})
+		value = append(value, encoded[chunk*limit:min((chunk+1)*limit, len(encoded))]...)
+		puts = append(puts, bvplatform.Put{Key: rowKey(turn.ID, candidate, chunk), Value: value})
 	}
 	return puts
 }
 
-// turn returns a turn that is at hand, or reads it.
-func (store *Store) turn(ctx context.Context, id string) (*Turn, error) {
-	if found := store.cached(id); found != nil {
+// loadTurn returns a turn from the cache, or reads it from the platform.
+func (store *Store) loadTurn(ctx context.Context, id string) (*Turn, error) {
+	if found := store.cachedTurn(id); found != nil {
 		return found, nil
 	}
-	encoded, err := store.read(ctx, id)
+	encoded, err := store.readTurn(ctx, id)
 	if err != nil {
 		return nil, err
 	}
@@ -59,54 +60,54 @@
 	if err != nil {
 		return nil, err
 	}
-	store.remember(turn)
+	store.cacheTurn(turn)
 	return turn, nil
 }
 
-// read looks for a turn in its places. That there is no such turn is sure only
-// if all of them were read.
-func (store *Store) read(ctx context.Context, id string) ([]byte, error) {
-	var unsure error
-	for place := range places {
-		encoded, err := store.readPlace(ctx, id, place)
+// readTurn searches the candidate shards of a turn. It reports the turn as not found
+// only if every one of them was read.
+func (store *Store) readTurn(ctx context.Context, id string) ([]byte, error) {
+	var readErr error
+	for candidate := range candidateShards {
+		encoded, err := store.readCandidate(ctx, id, candidate)
 		if err == nil {
 			return encoded, nil
 		}
 		if !errors.Is(err, bvplatform.ErrNotFound) {
-			unsure = err
+			readErr = err
 		}
 	}
-	if unsure != nil {
-		return nil, unsure
+	if readErr != nil {
+		return nil, readErr
 	}
 	return nil, fmt.Errorf("turn %s: %w", id, bvplatform.ErrNotFound)
 }
 
-func (store *Store) readPlace(ctx context.Context, id string, place int) ([]byte, error) {
-	rows, err := store.durable.Read(ctx, key(id, place, 0))
+func (store *Store) readCandidate(ctx context.Context, id string, candidate int) ([]byte, error) {
+	rows, err := store.platform.Read(ctx, rowKey(id, candidate, 0))
 	if err != nil {
 		return nil, err
 	}
-	if len(rows[0].Value) < headBytes {
+	if len(rows[0].Value) < headerBytes {
 		return nil, fmt.Errorf("turn %s: %w", id, bvplatform.ErrNotFound)
 	}
-	pieces, encoded := int(rows[0].Value[0]), rows[0].Value[headBytes:]
-	if pieces == 1 {
+	chunks, encoded := int(rows[0].Value[0]), rows[0].Value[headerBytes:]
+	if chunks == 1 {
 		return encoded, nil
 	}
-	keys := make([]string, 0, pieces)
-	for piece := 1; piece < pieces; piece++ {
-		keys = append(keys, key(id, place, piece))
+	keys := make([]string, 0, chunks)
+	for chunk := 1; chunk < chunks; chunk++ {
+		keys = append(keys, rowKey(id, candidate, chunk))
 	}
-	rest, err := store.durable.Read(ctx, keys...)
+	rest, err := store.platform.Read(ctx, keys...)
 	if err != nil {
 		return nil, err
 	}
 	for _, row := range rest {
-		if len(row.Value) < headBytes {
-			return nil, fmt.Errorf("turn %s: %w", id, errShort)
+		if len(row.Value) < headerBytes {
+			return nil, fmt.Errorf("turn %s: %w", id, errTruncated)
 		}
-		encoded = append(encoded, row.Value[headBytes:]...)
+		encoded = append(encoded, row.Value[headerBytes:]...)
 	}
 	return encoded, nil
 }
--- a/bvhistory/turn.go
+++ b/bvhistory/turn.go
@@ -6,30 +6,30 @@
 	"fmt"
 )
 
-// Turn is a turn of a conversation as it is kept.
+// Turn is a persisted turn of a conversation.
 type Turn struct {
 	ID         string
 	Ancestors  []string // ids of the turns before it, oldest first
-	ChainStart int64    // when the oldest of the chain was written: time of day, in seconds
-	Expires    int64    // when no later turn can need this one: time of day, in seconds
+	ChainStart int64    // when the oldest turn of the chain was written: Unix time, in seconds
+	Expires    int64    // after which no later turn can need this one: Unix time, in seconds
 	Input      []byte   // what the caller sent
-	Output     []byte   // the data of each event, each with a line feed behind it
+	Output     []byte   // the data of each event, each followed by a line feed
 	Placement  Placement
 }
 
-// Placement tells where a turn was run, so that whoever gets the next one, through any
-// host, can send it where its conversation is cached. The zero value tells nothing.
+// Placement is where a turn ran, so that any host that receives the next turn can send
+// it to the engine that has the conversation cached. The zero value means unknown.
 type Placement struct {
-	Endpoint uint64 // hash of its ID
-	Tokens   int    // of the prompt and the answer
+	Endpoint uint64 // hash of the endpoint's ID
+	Tokens   int    // length of the prompt and the answer
 }
 
-// size is about what the turn takes in memory, in bytes.
+// size estimates the memory that the turn takes, in bytes.
 func (turn *Turn) size() int {
 	return len(turn.Input) + len(turn.Output) + rowOverhead
 }
 
-// encode writes the turn as lengths and bytes: most of it is text that JSON
+// encode serializes the turn as length-prefixed bytes: most of it is text that JSON
 // would escape.
 func (turn *Turn) encode() []byte {
 	size := 64 + len(turn.Input) + len(turn.Output)
@@ -51,9 +51,9 @@
 	return append(encoded, value...)
 }
 
-var errShort = errors.New("history: row is cut off")
+var errTruncated = errors.New("history: row is truncated")
 
-// decodeTurn reads a turn that encode wrote.
+// decodeTurn parses the output of encode.
 func decodeTurn(id string, encoded []byte) (*Turn, error) {
 	reader := reader{rest: encoded}
 	turn := &Turn{ID: id, ChainStart: reader.varint(), Expires: reader.varint()}
@@ -63,7 +63,7 @@
 	}
 	turn.Input = reader.bytes()
 	turn.Output = reader.bytes()
-	if reader.err == nil && len(reader.rest) > 0 { // rows of earlier versions end here
+	if reader.err == nil && len(reader.rest) > 0 { // rows written by earlier versions end here
 		turn.Placement = Placement{Endpoint: reader.uvarint(), Tokens: int(reader.uvarint())}
 	}
 	if reader.err != nil {
@@ -72,7 +72,7 @@
 	return turn, nil
 }
 
-// reader reads lengths and bytes, and keeps its first error.
+// reader parses length-prefixed bytes and holds the first error.
 type reader struct {
 	rest []byte
 	err  error
@@ -93,7 +93,7 @@
 func (reader *reader) bytes() []byte {
 	length := reader.uvarint()
 	if reader.err != nil || length > uint64(len(reader.rest)) {
-		reader.err = errShort
+		reader.err = errTruncated
 		return nil
 	}
 	value := reader.rest[:length]
@@ -103,7 +103,7 @@
 
 func (reader *reader) skip(count int) {
 	if count <= 0 {
-		reader.err = errShort
+		reader.err = errTruncated
 		reader.rest = nil
 		return
 	}
