--- a/bvlease/bench_test.go
+++ b/bvlease/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// BenchmarkHolder is the cost of finding a program's grantor.
+// BenchmarkHolder measures the cost of finding a program's grantor.
 func BenchmarkHolder(b *testing.B) {
 	for _, size := range []int{13, 80, 730} {
 		b.Run(fmt.Sprint("hosts=", size), func(b *testing.B) {
--- a/bvlease/lease.go
+++ b/bvlease/lease.go
@@ -1,26 +1,25 @@
-// Package bvlease decides which host alone may grant a share of a program's
-// budget from its memory, without asking the platform's store first.
+// Package bvlease decides which single host may grant a share of a program's budget
+// from memory, without a request to the platform's store.
 //
-// Hosts list themselves in the store as grantors, and each program belongs to one
-// of these by rendezvous hashing over their names. Hosts read the list at
-// different times and go on while the store is away, so two of them can take
-// themselves for a program's holder. Two rules keep their grants apart: a host
-// grants only for leaseTime after it last read the list, and one that has become
-// a program's holder waits until the one before it has surely stopped granting
-// and all programs of that time are over. So no program gets grants of two hosts,
-// whatever fails; while it waits, and after the loss of its holder, a program has
-// to do with what the store records.
+// Hosts list themselves in the store as grantors, and each program is assigned to one
+// of them, its holder, by rendezvous hashing over their names. Hosts read the list at
+// different times and continue while the store is unavailable, so two hosts can both
+// assume that they are a program's holder. Two rules prevent conflicting grants: a host
+// grants only for leaseTime after it last read the list, and a host that becomes a
+// program's holder waits until its predecessor must have stopped granting and all
+// programs of that time have ended. So no program receives grants from two hosts,
+// whatever fails. During this wait, and after its holder has failed, a program is
+// limited to the stored half of its budget.
 //
-// Only when the whole system starts for the first time is there nobody before:
-// hosts wait then until all of them have read the same list. A host that stops as
-// planned hands over what it has granted, and its next process goes on from
-// there.
+// Only the first start of the whole system has no predecessors: hosts then wait until
+// all of them have read the same list. A host that stops as planned hands over what it
+// has granted, and its next process continues from there.
 //
 // # Usage
 //
 //	leases := bvlease.New(self, firstStart, clock.Now())
 //	leases.RecordWrite(clock.Now())              // this host's row is in the store
-//	leases.UpdateList(asked, clock.Now(), hosts) // the list as it was read
+//	leases.UpdateList(began, clock.Now(), hosts) // the list; its read began then
 //	if leases.MayGrant(clock.Now(), program, retain) { ... }
 package bvlease
 
@@ -35,33 +34,35 @@
 )
 
 const (
-	// leaseTime is how long after reading the list a host may grant: some readings
-	// may fail in an outage of the store.
+	// leaseTime is how long after reading the list a host may grant: some reads may
+	// fail in an outage of the store.
 	leaseTime = 30 * bvclock.Second
-	// MaxProgramTime is how long a program may be under way, or come back after
-	// it was stopped, beyond the time for which its route keeps turns.
+	// MaxProgramTime is how long a program may run, or return after it was stopped,
+	// beyond the retention time of its route.
 	MaxProgramTime = bvclock.Minute
-	// longestRetain is the longest time of a route that keeps turns for which
-	// grants are made.
-	longestRetain = 5 * bvclock.Minute
-	// longestTakeover is how long a new holder waits: until the one before it has
-	// surely stopped granting, and no program that it granted for can come back.
-	longestTakeover = leaseTime + MaxProgramTime + longestRetain + readGap
-	// readGap is the longest time between two readings in which a departed host
-	// that was back and left again is not noticed.
-	readGap = 15 * bvclock.Second
-	// blindGap is the time between two readings after which this host begins
-	// anew. A host that was never seen here needs longestTakeover before its
-	// first grant.
-	blindGap = 2 * bvclock.Minute
-	// MaxHandoverAge is how old what a process left behind may be for the next one of
-	// its host to go on from there: others wait for longestTakeover.
+	// maxRetain is the longest retention time of a route's turns for which grants
+	// are made.
+	maxRetain = 5 * bvclock.Minute
+	// takeoverDelay is how long a new holder waits before it grants: after it, the
+	// previous holder must have stopped granting, and no program that it granted for
+	// can return.
+	takeoverDelay = leaseTime + MaxProgramTime + maxRetain + maxReadGap
+	// maxReadGap is the longest time between two reads of the list in which a departed
+	// host may have been listed and removed again unseen without its delay being
+	// restarted; takeoverDelay includes it.
+	maxReadGap = 15 * bvclock.Second
+	// resetGap is the time between two reads of the list after which this host starts
+	// over as if newly listed. A host that was never seen here waits for takeoverDelay
+	// before its first grant, so it can't have granted unseen within a shorter gap.
+	resetGap = 2 * bvclock.Minute
+	// MaxHandoverAge is the age up to which the next process of a host may continue
+	// from a handover: other hosts wait for takeoverDelay.
 	MaxHandoverAge = leaseTime
-	// firstListed is how soon after its start a host must be listed to take part
-	// in the first list.
-	firstListed = 3 * bvclock.Second
-	// FirstReadDelay is when after its start a host's reading of the list shows all
-	// hosts of the first list, also of those whose processes came up 3 s later.
+	// maxFirstWriteDelay is how soon after its start a host must have written its row
+	// to be part of the first list.
+	maxFirstWriteDelay = 3 * bvclock.Second
+	// FirstReadDelay is how long after a host's start its read of the list shows all
+	// hosts of the first list, including those whose processes started 3 s later.
 	FirstReadDelay = 6 * bvclock.Second
 )
 
@@ -69,86 +70,88 @@
 type Host struct {
 	Name        string
 	Incarnation string // differs with each start of the process
-	Address     string // IP:port for questions
+	Address     string // IP:port for requests of other hosts
 }
 
-// row is a host with the seed of its weights.
+// row is a listed host and the hash of its name, the seed of its rendezvous weights.
 type row struct {
 	Host
 	seed uint64
 }
 
-// departed is a host that is no longer listed.
-type departed struct {
-	seed uint64
-	gone bvclock.Time // when the list was first read without it
+// departedHost is a host that is no longer listed.
+type departedHost struct {
+	seed       uint64
+	departedAt bvclock.Time // when the list was first read without the host
 }
 
-// Leases is one host's view. Make one with New; it is safe for concurrent use.
+// Leases is one host's view of the grantors. Create it with New; it is safe for
+// concurrent use.
 type Leases struct {
-	self    Host
-	first   bool // the whole system started for the first time
-	started bvclock.Time
+	self         Host
+	isFirstStart bool // the whole system started for the first time
+	startedAt    bvclock.Time
 
 	mutex         sync.Mutex
-	wrote         bvclock.Time // when this host's row was written; 0: not yet
-	asked         bvclock.Time // when the last reading of the list began; 0: not yet
+	writtenAt     bvclock.Time // when this host's row was written; 0 if it was not
+	readAt        bvclock.Time // when the last successful read of the list began; 0 before the first
 	rows          []row
-	departedHosts []departed
-	succeeded     bool // this host goes on from what its last process handed over
+	departedHosts []departedHost
+	inherited     bool // this host continues from the handover of its previous process
 	stopped       bool
 }
 
-// New returns the view of a host that knows no list yet.
-func New(self Host, firstStart bool, started bvclock.Time) *Leases {
-	return &Leases{self: self, first: firstStart, started: started}
+// New returns the view of a host that has not read the list yet.
+func New(self Host, firstStart bool, startedAt bvclock.Time) *Leases {
+	return &Leases{self: self, isFirstStart: firstStart, startedAt: startedAt}
 }
 
-// RecordWrite notes that the store has this host's row.
+// RecordWrite records that the store has this host's row.
 func (leases *Leases) RecordWrite(now bvclock.Time) {
 	leases.mutex.Lock()
 	defer leases.mutex.Unlock()
-	leases.wrote = now
+	leases.writtenAt = now
 }
 
-// KnownHosts is what a host knows of the others, by the seeds of their names.
+// KnownHosts are the hosts that a host knows, by the hashes of their names.
 type KnownHosts struct {
 	Listed   []uint64 `json:"listed"`
-	Departed []uint64 `json:"former"` // no longer listed, and still to be waited for
+	Departed []uint64 `json:"former"` // no longer listed, but their delay has not passed
 }
 
-// Stop ends all grants of this host. It is called before the host takes itself
-// off the list. It returns what the next process of this host needs to go on from
-// here, and whether it may: not if this one still had to wait itself.
-func (leases *Leases) Stop(now bvclock.Time) (known KnownHosts, heritable bool) {
+// Stop ends all grants of this host. Call it before the host removes itself from the
+// list. It returns the state that the next process of this host continues from, and
+// whether it may: not if this process is itself still waiting before its first grant.
+func (leases *Leases) Stop(now bvclock.Time) (known KnownHosts, inheritable bool) {
 	leases.mutex.Lock()
 	defer leases.mutex.Unlock()
 	leases.stopped = true
-	leases.dropDeparted(now)
+	leases.dropExpired(now)
 	for _, row := range leases.rows {
 		known.Listed = append(known.Listed, row.seed)
 	}
 	for _, departed := range leases.departedHosts {
 		known.Departed = append(known.Departed, departed.seed)
 	}
-	return known, leases.wrote != 0 && leases.confirmed(now) && leases.alone(now)
+	return known, leases.writtenAt != 0 && leases.isConfirmed(now) && leases.hasNoPredecessor(now)
 }
 
-// Inherit notes that this host goes on from where its last process stopped. It is
-// called soon after that stop, before another host may take its programs over.
-// All hosts that were known then are waited for until the next list shows them.
+// Inherit records that this host continues from where its previous process stopped.
+// Call it within MaxHandoverAge of that stop, before another host may take over its
+// programs. All hosts known at the stop count as departed until the next list shows
+// them.
 func (leases *Leases) Inherit(now bvclock.Time, known KnownHosts) {
 	leases.mutex.Lock()
 	defer leases.mutex.Unlock()
-	leases.succeeded = true
+	leases.inherited = true
 	for _, seed := range slices.Concat(known.Listed, known.Departed) {
-		leases.departedHosts = append(leases.departedHosts, departed{seed: seed, gone: now})
+		leases.departedHosts = append(leases.departedHosts, departedHost{seed: seed, departedAt: now})
 	}
 }
 
-// UpdateList takes over the list. Asked is when its reading began, before which
-// nothing that it shows may be relied on.
-func (leases *Leases) UpdateList(asked, now bvclock.Time, hosts []Host) {
+// UpdateList replaces the list. The lease starts at readAt, when the read of the list
+// began: the list may be no newer than that.
+func (leases *Leases) UpdateList(readAt, now bvclock.Time, hosts []Host) {
 	leases.mutex.Lock()
 	defer leases.mutex.Unlock()
 	listed := make(map[uint64]bool, len(hosts))
@@ -158,56 +161,56 @@
 		listed[seed] = true
 		rows = append(rows, row{Host: host, seed: seed})
 	}
-	leases.noteGap(asked, now)
-	for _, before := range leases.rows {
-		if !listed[before.seed] {
-			leases.departedHosts = append(leases.departedHosts, departed{seed: before.seed, gone: now})
+	leases.handleGap(readAt, now)
+	for _, previous := range leases.rows {
+		if !listed[previous.seed] {
+			leases.departedHosts = append(leases.departedHosts, departedHost{seed: previous.seed, departedAt: now})
 		}
 	}
-	leases.rows, leases.asked = rows, asked
-	leases.departedHosts = slices.DeleteFunc(leases.departedHosts, func(departed departed) bool { return listed[departed.seed] })
-	leases.dropDeparted(now)
+	leases.rows, leases.readAt = rows, readAt
+	leases.departedHosts = slices.DeleteFunc(leases.departedHosts, func(departedHost departedHost) bool { return listed[departedHost.seed] })
+	leases.dropExpired(now)
 }
 
-// noteGap guards against what happened unseen since the last reading. A departed
-// host may have been back, granted and left again: its time begins anew. After a
-// long gap this may be true of a host that was never seen here, so that this one
-// begins as if it had just been listed.
-func (leases *Leases) noteGap(asked, now bvclock.Time) {
-	if leases.asked == 0 {
+// handleGap handles events that this host may have missed between two reads of the
+// list. A departed host may have been listed, granted and departed again: its delay
+// restarts. After a long gap this may apply to a host that was never seen here, so
+// this host starts over as if it had just been listed.
+func (leases *Leases) handleGap(readAt, now bvclock.Time) {
+	if leases.readAt == 0 {
 		return
 	}
-	gap := asked.Sub(leases.asked)
-	if gap > readGap {
+	gap := readAt.Sub(leases.readAt)
+	if gap > maxReadGap {
 		for i := range leases.departedHosts {
-			leases.departedHosts[i].gone = now
+			leases.departedHosts[i].departedAt = now
 		}
 	}
-	if gap > blindGap {
-		leases.first, leases.succeeded, leases.wrote = false, false, now
+	if gap > resetGap {
+		leases.isFirstStart, leases.inherited, leases.writtenAt = false, false, now
 	}
 }
 
-// dropDeparted forgets those whose time is over.
-func (leases *Leases) dropDeparted(now bvclock.Time) {
-	leases.departedHosts = slices.DeleteFunc(leases.departedHosts, func(departed departed) bool {
-		return now.Sub(departed.gone) >= longestTakeover
+// dropExpired removes the departed hosts whose delay has passed.
+func (leases *Leases) dropExpired(now bvclock.Time) {
+	leases.departedHosts = slices.DeleteFunc(leases.departedHosts, func(departed departedHost) bool {
+		return now.Sub(departed.departedAt) >= takeoverDelay
 	})
 }
 
-// IsConfirmed reports whether the list was read lately enough to go by it.
+// IsConfirmed reports whether the list was read recently enough to be relied on.
 func (leases *Leases) IsConfirmed(now bvclock.Time) bool {
 	leases.mutex.Lock()
 	defer leases.mutex.Unlock()
-	return leases.confirmed(now)
+	return leases.isConfirmed(now)
 }
 
-func (leases *Leases) confirmed(now bvclock.Time) bool {
-	return leases.asked != 0 && now.Sub(leases.asked) < leaseTime
+func (leases *Leases) isConfirmed(now bvclock.Time) bool {
+	return leases.readAt != 0 && now.Sub(leases.readAt) < leaseTime
 }
 
-// Holder returns the host that may grant for a program, as far as this host
-// knows; false while it knows no list.
+// Holder returns the host that may grant for a program, by the list that this host
+// last read; false before the first read.
 func (leases *Leases) Holder(program string) (Host, bool) {
 	leases.mutex.Lock()
 	defer leases.mutex.Unlock()
@@ -228,32 +231,32 @@
 	return best, highest
 }
 
-// MayGrant reports whether this host alone may grant for a program now, whose
-// route keeps turns for the given time.
+// MayGrant reports whether this host, and no other, may grant for a program now.
+// Retain is the retention time of the program's route.
 func (leases *Leases) MayGrant(now bvclock.Time, program string, retain bvclock.Duration) bool {
 	leases.mutex.Lock()
 	defer leases.mutex.Unlock()
-	if retain > longestRetain || leases.stopped || leases.wrote == 0 || !leases.confirmed(now) || !leases.alone(now) {
+	if retain > maxRetain || leases.stopped || leases.writtenAt == 0 || !leases.isConfirmed(now) || !leases.hasNoPredecessor(now) {
 		return false
 	}
 	best, highest := leases.holder(program)
-	return best != nil && best.Incarnation == leases.self.Incarnation && !leases.followsDeparted(now, program, highest)
+	return best != nil && best.Incarnation == leases.self.Incarnation && !leases.isHeldByDeparted(now, program, highest)
 }
 
-// alone reports whether no host can have granted for this one's programs before
-// it was listed, or those programs are over.
-func (leases *Leases) alone(now bvclock.Time) bool {
-	if leases.succeeded || now.Sub(leases.wrote) >= longestTakeover {
+// hasNoPredecessor reports whether no host can have granted for this host's programs
+// before it was listed, or those programs have ended.
+func (leases *Leases) hasNoPredecessor(now bvclock.Time) bool {
+	if leases.inherited || now.Sub(leases.writtenAt) >= takeoverDelay {
 		return true
 	}
-	return leases.first && leases.wrote.Sub(leases.started) <= firstListed && leases.asked.Sub(leases.started) >= FirstReadDelay
+	return leases.isFirstStart && leases.writtenAt.Sub(leases.startedAt) <= maxFirstWriteDelay && leases.readAt.Sub(leases.startedAt) >= FirstReadDelay
 }
 
-// followsDeparted reports whether a host that is no longer listed was the program's
-// holder, and may still be granting, or its programs be under way.
-func (leases *Leases) followsDeparted(now bvclock.Time, program string, own uint64) bool {
+// isHeldByDeparted reports whether a host that is no longer listed was the program's
+// holder and may still be granting, or programs that it granted for may be running.
+func (leases *Leases) isHeldByDeparted(now bvclock.Time, program string, ownWeight uint64) bool {
 	key := xxhash.Sum64String(program)
-	return slices.ContainsFunc(leases.departedHosts, func(departed departed) bool {
-		return bvhost.Weight(departed.seed, key) > own && now.Sub(departed.gone) < longestTakeover
+	return slices.ContainsFunc(leases.departedHosts, func(departed departedHost) bool {
+		return bvhost.Weight(departed.seed, key) > ownWeight && now.Sub(departed.departedAt) < takeoverDelay
 	})
 }
--- a/bvlease/lease_test.go
+++ b/bvlease/lease_test.go
@@ -10,41 +10,41 @@
 	"balsamvalve.example/bvclock"
 )
 
-const testRetain = longestRetain
+const testRetain = maxRetain
 
-// process is a host's process in the test's world.
+// process is a process of a host in the simulated world.
 type process struct {
 	self    Host
 	leases  *Leases
-	read    *reading // under way
-	lineage string   // first of the processes that handed over up to this one
+	pending *reading // whose result has not arrived
+	lineage string   // incarnation of the first process in the chain of handovers to this one
 }
 
-// reading is a look at the list whose answer has not come yet.
+// reading is a read of the list whose result has not arrived.
 type reading struct {
-	asked bvclock.Time
-	hosts []Host
+	beganAt bvclock.Time
+	hosts   []Host
 }
 
-// handover is what a planned stop leaves in the store.
+// handover is the state that a planned stop leaves in the store.
 type handover struct {
 	known   KnownHosts
 	at      bvclock.Time
 	lineage string
 }
 
-// world is the store's list and the hosts' processes, with the oracle: who
-// granted last for each program, and when.
+// world holds the store's list, the hosts' processes, and the oracle's state: which
+// lineage granted last for each program, and when.
 type world struct {
 	now       bvclock.Time
 	starts    int
 	listed    map[string]Host
 	processes map[string]*process
 	handovers map[string]handover
-	granted   map[string]grantSeen
+	granted   map[string]lastGrant
 }
 
-type grantSeen struct {
+type lastGrant struct {
 	lineage string
 	at      bvclock.Time
 }
@@ -52,7 +52,7 @@
 func newWorld(hosts ...string) *world {
 	world := &world{
 		now: 1_000, listed: make(map[string]Host), processes: make(map[string]*process),
-		handovers: make(map[string]handover), granted: make(map[string]grantSeen),
+		handovers: make(map[string]handover), granted: make(map[string]lastGrant),
 	}
 	for _, host := range hosts {
 		world.start(host, true)
@@ -63,8 +63,8 @@
 	}
 	world.now = world.now.Add(FirstReadDelay)
 	for _, host := range hosts {
-		world.ask(host)
-		world.answer(host)
+		world.beginRead(host)
+		world.finishRead(host)
 	}
 	return world
 }
@@ -75,8 +75,8 @@
 	world.processes[name] = &process{self: self, leases: New(self, first, world.now), lineage: self.Incarnation}
 }
 
-// list writes a host's row, and takes over what its last process left if that is
-// not too old.
+// list writes a host's row, and inherits the handover of its previous process if that
+// is not too old.
 func (world *world) list(name string) {
 	process := world.processes[name]
 	if left, found := world.handovers[name]; found {
@@ -90,11 +90,11 @@
 	process.leases.RecordWrite(world.now)
 }
 
-// stop is a planned stop.
+// stop stops a host's process as planned.
 func (world *world) stop(name string) {
 	process := world.processes[name]
-	known, heritable := process.leases.Stop(world.now)
-	if heritable {
+	known, inheritable := process.leases.Stop(world.now)
+	if inheritable {
 		world.handovers[name] = handover{known: known, at: world.now, lineage: process.lineage}
 	}
 	if world.listed[name].Incarnation == process.self.Incarnation {
@@ -103,19 +103,19 @@
 	delete(world.processes, name)
 }
 
-func (world *world) ask(name string) {
-	reading := &reading{asked: world.now}
+func (world *world) beginRead(name string) {
+	reading := &reading{beganAt: world.now}
 	for _, host := range world.listed {
 		reading.hosts = append(reading.hosts, host)
 	}
-	world.processes[name].read = reading
+	world.processes[name].pending = reading
 }
 
-func (world *world) answer(name string) {
+func (world *world) finishRead(name string) {
 	process := world.processes[name]
-	if process.read != nil {
-		process.leases.UpdateList(process.read.asked, world.now, process.read.hosts)
-		process.read = nil
+	if process.pending != nil {
+		process.leases.UpdateList(process.pending.beganAt, world.now, process.pending.hosts)
+		process.pending = nil
 	}
 }
 
@@ -132,23 +132,23 @@
 		rt.Repeat(map[string]func(*rapid.T){
 			"time": func(rt *rapid.T) {
 				world.now = world.now.Add(rapid.SampledFrom([]bvclock.Duration{
-					100, bvclock.Second, 10 * bvclock.Second, leaseTime, MaxProgramTime, longestTakeover,
+					100, bvclock.Second, 10 * bvclock.Second, leaseTime, MaxProgramTime, takeoverDelay,
 				}).Draw(rt, "by"))
 			},
 			"read": func(rt *rapid.T) {
 				if name := host.Draw(rt, "host"); world.processes[name] != nil {
-					world.ask(name)
+					world.beginRead(name)
 				}
 			},
 			"answer": func(rt *rapid.T) {
 				if name := host.Draw(rt, "host"); world.processes[name] != nil {
-					world.answer(name)
+					world.finishRead(name)
 				}
 			},
 			"read all": func(rt *rapid.T) {
 				for name := range world.processes {
-					world.ask(name)
-					world.answer(name)
+					world.beginRead(name)
+					world.finishRead(name)
 				}
 			},
 			"kill": func(rt *rapid.T) {
@@ -165,7 +165,7 @@
 				}
 			},
 			"list": func(rt *rapid.T) {
-				if name := host.Draw(rt, "host"); world.processes[name] != nil && world.processes[name].leases.wrote == 0 {
+				if name := host.Draw(rt, "host"); world.processes[name] != nil && world.processes[name].leases.writtenAt == 0 {
 					world.list(name)
 				}
 			},
@@ -174,46 +174,46 @@
 	})
 }
 
-// checkGrants lets each process that may grant do so, and compares with who did
-// before.
+// checkGrants lets each process grant that may do so, and fails if another lineage
+// granted for the same program too recently.
 func (world *world) checkGrants(t require.TestingT) {
 	for _, program := range []string{"p", "q", "r", "s"} {
 		for name, process := range world.processes {
 			if !world.mayGrant(name, program) {
 				continue
 			}
-			before, any := world.granted[program]
-			if any && before.lineage != process.lineage && world.now.Sub(before.at) <= MaxProgramTime+testRetain {
+			previous, found := world.granted[program]
+			if found && previous.lineage != process.lineage && world.now.Sub(previous.at) <= MaxProgramTime+testRetain {
 				require.Failf(t, "two grantors", "%s and %s granted for %s within %v",
-					before.lineage, process.lineage, program, world.now.Sub(before.at))
+					previous.lineage, process.lineage, program, world.now.Sub(previous.at))
 			}
-			world.granted[program] = grantSeen{lineage: process.lineage, at: world.now}
+			world.granted[program] = lastGrant{lineage: process.lineage, at: world.now}
 		}
 	}
 }
 
-// Shows that the oracle notices hosts that grant by an old list.
+// Shows that the oracle detects hosts that grant by an outdated list.
 func TestOracleCatchesAStaleGrantor(t *testing.T) {
 	world := newWorld("a", "b")
-	caught := &recorder{}
-	world.checkGrants(caught)
-	require.False(t, caught.failed)
+	recorder := &recorder{}
+	world.checkGrants(recorder)
+	require.False(t, recorder.failed)
 	for name, process := range world.processes {
-		process.leases.UpdateList(world.now, world.now, []Host{process.self}) // each sees itself alone
+		process.leases.UpdateList(world.now, world.now, []Host{process.self}) // each host sees only itself
 		process.leases.departedHosts = nil
 		require.True(t, world.mayGrant(name, "p"))
 	}
-	world.checkGrants(caught)
-	require.True(t, caught.failed)
+	world.checkGrants(recorder)
+	require.True(t, recorder.failed)
 }
 
-// recorder notes that a check failed.
+// recorder records that a check failed.
 type recorder struct{ failed bool }
 
 func (recorder *recorder) Errorf(string, ...any) { recorder.failed = true }
 func (recorder *recorder) FailNow()              {}
 
-// holders returns which hosts may grant for any of some programs.
+// holders returns the host that may grant for each of 200 programs.
 func (world *world) holders() map[string]string {
 	holders := make(map[string]string)
 	for i := range 200 {
@@ -227,13 +227,13 @@
 	return holders
 }
 
-// Guards against programs that wait for the store after the first start.
+// Guards against programs that have to wait for the store after the first start.
 func TestEachProgramHasAGrantorAfterTheFirstStart(t *testing.T) {
 	world := newWorld("a", "b", "c")
 	require.Len(t, world.holders(), 200)
 }
 
-// Guards against one grantor that all others ask.
+// Guards against a single grantor that receives the requests of all other hosts.
 func TestProgramsAreSpreadEvenly(t *testing.T) {
 	leases := New(Host{Name: "edge-0"}, true, 1)
 	var hosts []Host
@@ -252,7 +252,7 @@
 	}
 }
 
-// Guards against a successor that forgets hosts which left in between.
+// Guards against a successor process that ignores hosts which left while it was down.
 func TestSuccessorWaitsForHostsThatLeftMeanwhile(t *testing.T) {
 	world := newWorld("a", "b")
 	before := world.holders()
@@ -260,14 +260,15 @@
 	world.stop("b")
 	world.start("a", false)
 	world.list("a")
-	world.ask("a")
-	world.answer("a")
+	world.beginRead("a")
+	world.finishRead("a")
 	for program, holder := range before {
 		require.Equal(t, holder == "a", world.mayGrant("a", program), program)
 	}
 }
 
-// The store is away for twenty seconds. Hosts go on with the list that they have.
+// Guards against hosts that stop granting in an outage of the store of 20 s, or still
+// grant by a list that is too old.
 func TestHostsGrantWhileTheListCannotBeRead(t *testing.T) {
 	world := newWorld("a", "b", "c")
 	world.now = world.now.Add(20 * bvclock.Second)
@@ -276,7 +277,7 @@
 	require.Empty(t, world.holders(), "another host may have taken over meanwhile")
 }
 
-// Guards against planned restarts after which programs can't begin in an outage.
+// Guards against planned restarts after which programs can't start in an outage.
 func TestPlannedRestartsKeepGrantors(t *testing.T) {
 	world := newWorld("a", "b", "c")
 	before := world.holders()
@@ -286,23 +287,23 @@
 		world.start(name, false)
 		world.list(name)
 		for reader := range world.processes {
-			world.ask(reader)
-			world.answer(reader)
+			world.beginRead(reader)
+			world.finishRead(reader)
 		}
 	}
 	require.Equal(t, before, world.holders())
 }
 
-// Guards against a host that grants again what it granted before it died.
-func TestHostThatDiedDoesNotGrantAgainSoon(t *testing.T) {
+// Guards against a host that crashes, restarts and grants the same budget again.
+func TestCrashedHostDoesNotGrantAgainSoon(t *testing.T) {
 	world := newWorld("a", "b", "c")
 	before := world.holders()
 	delete(world.processes, "a")
 	world.start("a", false)
 	world.list("a")
 	for reader := range world.processes {
-		world.ask(reader)
-		world.answer(reader)
+		world.beginRead(reader)
+		world.finishRead(reader)
 	}
 	for program, holder := range world.holders() {
 		require.Equal(t, before[program], holder)
@@ -310,8 +311,8 @@
 	}
 }
 
-// Guards against a host that was back and granted between two readings.
-func TestHostThatWasBackUnseenIsWaitedForAgain(t *testing.T) {
+// Guards against a host that is listed again and grants between two reads of the list.
+func TestDelayRestartsForAHostThatWasListedUnseen(t *testing.T) {
 	world := newWorld("a", "b")
 	var program string
 	for candidate, holder := range world.holders() {
@@ -320,23 +321,23 @@
 		}
 	}
 	world.stop("a")
-	world.ask("b")
-	world.answer("b")
+	world.beginRead("b")
+	world.finishRead("b")
 	world.now = world.now.Add(20 * bvclock.Second)
 	world.start("a", false)
 	world.list("a")
-	world.ask("a")
-	world.answer("a")
+	world.beginRead("a")
+	world.finishRead("a")
 	world.now = world.now.Add(bvclock.Minute)
-	world.ask("a")
-	world.answer("a")
+	world.beginRead("a")
+	world.finishRead("a")
 	require.True(t, world.mayGrant("a", program))
-	granted := world.now
+	grantedAt := world.now
 	world.stop("a")
-	for world.now.Sub(granted) <= MaxProgramTime+testRetain {
+	for world.now.Sub(grantedAt) <= MaxProgramTime+testRetain {
 		world.now = world.now.Add(10 * bvclock.Second)
-		world.ask("b")
-		world.answer("b")
-		require.False(t, world.mayGrant("b", program) && world.now.Sub(granted) <= MaxProgramTime+testRetain)
+		world.beginRead("b")
+		world.finishRead("b")
+		require.False(t, world.mayGrant("b", program) && world.now.Sub(grantedAt) <= MaxProgramTime+testRetain)
 	}
 }
