--- a/bvcommit/batch.go
+++ b/bvcommit/batch.go
@@ -6,40 +6,40 @@
 	"slices"
 )
 
-// gather takes the next batch from the queue. An entry that touches a row of
-// another one in the batch waits for the next batch, since its check is of
-// the version before.
-func (committer *Committer) gather() {
+// fillBatch moves the next batch out of the queue. An entry that shares a row with
+// another one in the batch waits for a later batch, since its check is of the version
+// that the other one changes.
+func (committer *Committer) fillBatch() {
 	limit := committer.maxEntries
-	if committer.solo > 0 {
+	if committer.singles > 0 {
 		limit = 1
 	}
-	touched := make(map[string]bool)
+	written := make(map[string]bool)
 	size := 0
 	var rest []bvledger.Entry
 	for _, entry := range committer.queue {
 		size += sizeOf(entry)
 		full := len(committer.batch) > 0 && (len(committer.batch) >= limit || size > committer.maxBytes)
-		if full || touches(entry, touched) {
+		if full || overlaps(entry, written) {
 			rest = append(rest, entry)
-			touch(entry, touched)
+			markWritten(entry, written)
 			continue
 		}
-		touch(entry, touched)
+		markWritten(entry, written)
 		committer.batch = append(committer.batch, entry)
 	}
 	committer.queue = rest
-	committer.solo = max(committer.solo-1, 0)
+	committer.singles = max(committer.singles-1, 0)
 }
 
-func touches(entry bvledger.Entry, touched map[string]bool) bool {
-	return slices.ContainsFunc(entry.Checks, func(check bvplatform.Check) bool { return touched[check.Key] }) ||
-		slices.ContainsFunc(entry.Puts, func(put bvplatform.Put) bool { return touched[put.Key] })
+func overlaps(entry bvledger.Entry, written map[string]bool) bool {
+	return slices.ContainsFunc(entry.Checks, func(check bvplatform.Check) bool { return written[check.Key] }) ||
+		slices.ContainsFunc(entry.Puts, func(put bvplatform.Put) bool { return written[put.Key] })
 }
 
-func touch(entry bvledger.Entry, touched map[string]bool) {
+func markWritten(entry bvledger.Entry, written map[string]bool) {
 	for _, put := range entry.Puts {
-		touched[put.Key] = true
+		written[put.Key] = true
 	}
 }
 
--- a/bvcommit/committer.go
+++ b/bvcommit/committer.go
@@ -1,9 +1,9 @@
-// Package bvcommit gathers the entries of many programs into few platform
-// writes: the platform takes a few hundred writes a second for all hosts.
+// Package bvcommit groups the entries of many programs into few writes to the
+// platform, which accepts a few hundred writes a second from all hosts together.
 //
-// A Committer has one transaction in flight, starts no more of them than its
-// interval and burst allow, and tells each entry's outcome exactly once. It knows
-// no sockets, no clock and no platform.
+// A Committer has one transaction in flight at a time, starts transactions at the rate
+// that its interval and burst allow, and reports each entry's outcome exactly once. It
+// does no I/O and reads no clock: its effects ask the caller for writes and reads.
 //
 // # Usage
 //
@@ -38,21 +38,21 @@
 	DefaultMaxBackoff = 2 * bvclock.Second
 )
 
-// Effect is something that the committer wants done.
+// Effect is an action that the caller must carry out for the committer.
 type Effect interface{ effect() }
 
-// Write wants the transaction committed. Tell the outcome by HandleWrite.
+// Write asks for the transaction to be committed. Pass the outcome to HandleWrite.
 type Write struct {
 	Transaction bvplatform.Transaction
 }
 
-// Read wants one row read. Tell the outcome by HandleRead.
+// Read asks for one row to be read. Pass the outcome to HandleRead.
 type Read struct {
 	Key string
 }
 
-// Done tells the outcome of an entry: the version of its rows, or an error,
-// which means that the entry was not applied and never will be.
+// Done reports the outcome of an entry: the version of its rows, or an error, which
+// means that the entry was not applied and never will be.
 type Done struct {
 	Entry   bvledger.EntryID
 	Version int64
@@ -69,13 +69,13 @@
 
 const (
 	phaseIdle    phase = iota
-	phasePaused        // waits to try the batch again
-	phaseWriting       // a Write is under way
-	phaseReading       // a Read is under way
+	phaseBackoff       // waits to retry the batch
+	phaseWriting       // a Write is in flight
+	phaseReading       // a Read is in flight
 )
 
 // Committer is the group committer of one host. It is not safe for concurrent
-// use. Make one with New.
+// use. Create it with New.
 type Committer struct {
 	host        string
 	incarnation string
@@ -84,25 +84,25 @@
 	maxEntries  int
 	maxBytes    int
 
-	queue   []bvledger.Entry
-	batch   []bvledger.Entry
-	phase   phase
-	lost    []string // attempts of the batch whose outcome is unknown
-	asked   error    // conflict that a read must explain
-	attempt string   // under way
-	count   int64
-	marker  int64        // version of the marker row
-	solo    int          // entries that are tried one by one, after a rejection
-	earned  bvclock.Time // when all transactions so far are paid for, at one an interval
-	begun   bool
-	retryAt bvclock.Time
-	backoff bvclock.Duration
-	effects []Effect
-	writes  int64
-}
-
-// New returns an empty Committer without a minimal interval. The incarnation
-// must differ with each start of the process.
+	queue           []bvledger.Entry
+	batch           []bvledger.Entry
+	phase           phase
+	unresolved      []string // attempts of the batch whose outcome is unknown
+	pendingConflict error    // conflict that is handled after the marker was read
+	attempt         string   // id of the attempt in flight
+	attemptCount    int64
+	markerVersion   int64        // version of the marker row
+	singles         int          // entries still to be written one at a time, after a rejection
+	pacedUntil      bvclock.Time // end of the intervals of all transactions started so far
+	hasWritten      bool
+	retryAt         bvclock.Time
+	backoff         bvclock.Duration
+	effects         []Effect
+	writes          int64
+}
+
+// New returns an empty Committer without a minimum interval. The incarnation must
+// differ with each start of the process.
 func New(host, incarnation string) *Committer {
 	return &Committer{
 		host:        host,
@@ -112,26 +112,25 @@
 	}
 }
 
-// SetInterval sets the time between the starts of two transactions in the
-// long run.
+// SetInterval sets the average time between the starts of two transactions.
 func (committer *Committer) SetInterval(interval bvclock.Duration) {
 	committer.interval = interval
 }
 
-// SetBurst sets how many transactions may start without waiting after a quiet
-// time; 0 counts as 1. A call that is alone needs two writes in a row, and
-// would otherwise wait for the second although the platform has nothing to do.
+// SetBurst sets how many transactions may start without waiting after an idle time; 0
+// counts as 1. A single call needs two writes in a row, and with a burst of 1 would
+// wait for the second one although the platform is idle.
 func (committer *Committer) SetBurst(burst int) {
 	committer.burst = burst
 }
 
-// due is when the next transaction may start.
-func (committer *Committer) due() bvclock.Time {
-	saved := bvclock.Duration(max(committer.burst, 1)-1) * committer.interval
-	return committer.earned.Add(-saved)
+// nextStart returns when the next transaction may start.
+func (committer *Committer) nextStart() bvclock.Time {
+	allowance := bvclock.Duration(max(committer.burst, 1)-1) * committer.interval
+	return committer.pacedUntil.Add(-allowance)
 }
 
-// SetMaxBatch bounds a transaction; an entry that is larger goes alone.
+// SetMaxBatch bounds a transaction; an entry that exceeds the bounds is written alone.
 func (committer *Committer) SetMaxBatch(entries, bytes int) {
 	committer.maxEntries = entries
 	committer.maxBytes = bytes
@@ -142,7 +141,7 @@
 	return len(committer.queue) + len(committer.batch)
 }
 
-// Writes returns how many transactions were tried.
+// Writes returns how many transactions were attempted.
 func (committer *Committer) Writes() int64 {
 	return committer.writes
 }
@@ -153,63 +152,62 @@
 	return "commit/" + url.PathEscape(committer.host) + "/" + url.PathEscape(committer.incarnation)
 }
 
-// Add takes in an entry. Entries of one program must come one at a time, each
-// after the outcome of the one before.
+// Add queues an entry. Add the next entry of a program only after the outcome of its
+// previous one.
 func (committer *Committer) Add(entry bvledger.Entry) {
 	committer.queue = append(committer.queue, entry)
 }
 
-// Tick starts what is due and returns the effects since the last Tick.
+// Tick starts an attempt if one is due and returns the effects since the last Tick.
 func (committer *Committer) Tick(now bvclock.Time) []Effect {
 	if due, ok := committer.Next(); ok && !now.Before(due) {
-		committer.start(now)
+		committer.startAttempt(now)
 	}
 	effects := committer.effects
 	committer.effects = nil
 	return effects
 }
 
-// Next is when Tick has something to do without a further event; false means
-// never.
+// Next returns when Tick is due if no event comes first; false means never.
 func (committer *Committer) Next() (bvclock.Time, bool) {
 	switch committer.phase {
-	case phasePaused:
+	case phaseBackoff:
 		return committer.retryAt, true
 	case phaseIdle:
 		if len(committer.queue) == 0 {
 			return 0, false
 		}
-		if !committer.begun {
+		if !committer.hasWritten {
 			return 0, true
 		}
-		return committer.due(), true
+		return committer.nextStart(), true
 	}
 	return 0, false
 }
 
-func (committer *Committer) start(now bvclock.Time) {
+func (committer *Committer) startAttempt(now bvclock.Time) {
 	if committer.phase == phaseIdle {
-		committer.gather()
+		committer.fillBatch()
 	}
-	if len(committer.lost) > 0 {
-		committer.read()
+	if len(committer.unresolved) > 0 {
+		committer.readMarker()
 		return
 	}
-	committer.write(now)
+	committer.writeBatch(now)
 }
 
-// write tries the batch under a new attempt number.
+// writeBatch attempts to commit the batch under a new attempt number.
 //
-// The marker row guards against a write whose answer was lost and which takes
-// effect late, after the batch was tried again: both attempts check the same
-// version of the marker and both change it, so at most one of them is ever
-// applied, and the marker's row names which one.
-func (committer *Committer) write(now bvclock.Time) {
-	committer.count++
-	committer.attempt = fmt.Sprintf("%s/%s/%d", committer.host, committer.incarnation, committer.count)
+// The marker row guards against a write whose answer was lost and which takes effect
+// late, after the batch was retried: both attempts check the same version of the
+// marker and both change it, so at most one of them is ever applied, and the marker
+// row names which one.
+func (committer *Committer) writeBatch(now bvclock.Time) {
+	committer.attemptCount++
+	committer.attempt = fmt.Sprintf("%s/%s/%d", committer.host, committer.incarnation, committer.attemptCount)
 	transaction := bvplatform.Transaction{
 		Attempt: committer.attempt,
-		Checks:  []bvplatform.Check{{Key: committer.MarkerKey(), Version: committer.marker}},
+		Checks:  []bvplatform.Check{{Key: committer.MarkerKey(), Version: committer.markerVersion}},
 		Puts:    []bvplatform.Put{{Key: committer.MarkerKey(), Value: []byte(committer.attempt)}},
 	}
 	for _, entry := range committer.batch {
@@ -217,13 +215,13 @@
 		transaction.Puts = append(transaction.Puts, entry.Puts...)
 	}
 	committer.phase = phaseWriting
-	committer.earned = max(committer.earned, now).Add(committer.interval)
-	committer.begun = true
+	committer.pacedUntil = max(committer.pacedUntil, now).Add(committer.interval)
+	committer.hasWritten = true
 	committer.writes++
 	committer.effects = append(committer.effects, Write{Transaction: transaction})
 }
 
-func (committer *Committer) read() {
+func (committer *Committer) readMarker() {
 	committer.phase = phaseReading
 	committer.effects = append(committer.effects, Read{Key: committer.MarkerKey()})
 }
--- a/bvcommit/committer_test.go
+++ b/bvcommit/committer_test.go
@@ -16,31 +16,31 @@
 	"balsamvalve.example/bvplatform"
 )
 
-// bench drives one committer against a platform in memory.
-type bench struct {
+// harness runs one committer against an in-memory platform with faults.
+type harness struct {
 	bvplatform.Memory
 	committer *bvcommit.Committer
 	now       bvclock.Time
-	fault     string // of the next write: "", "lost", "late", "down", "reject"
-	sticky    bool   // the fault stays
-	ignore    string // checks of this prefix are not made: broken on purpose
+	fault     string // for the next write: "", "lost", "late", "down", "reject"
+	sticky    bool   // the fault applies to all further writes
+	ignore    string // checks of keys with this prefix are skipped: broken on purpose
 	late      []bvplatform.Transaction
 	done      map[bvledger.EntryID]bvcommit.Done
-	batches   []int // puts of each transaction that was tried, without the marker
+	batches   []int // number of puts of each attempted transaction, without the marker
 }
 
-func newBench() *bench {
-	return &bench{
+func newHarness() *harness {
+	return &harness{
 		committer: bvcommit.New("host", "1"),
 		done:      make(map[bvledger.EntryID]bvcommit.Done),
 	}
 }
 
-func (bench *bench) write(transaction bvplatform.Transaction) (int64, error) {
-	bench.batches = append(bench.batches, len(transaction.Puts)-1)
-	fault := bench.fault
-	if !bench.sticky {
-		bench.fault = ""
+func (harness *harness) write(transaction bvplatform.Transaction) (int64, error) {
+	harness.batches = append(harness.batches, len(transaction.Puts)-1)
+	fault := harness.fault
+	if !harness.sticky {
+		harness.fault = ""
 	}
 	switch fault {
 	case "down":
@@ -50,67 +50,67 @@
 			return 0, bvplatform.ErrRejected
 		}
 	case "late":
-		bench.late = append(bench.late, transaction)
+		harness.late = append(harness.late, transaction)
 		return 0, bvplatform.ErrUnknown
 	}
-	version, err := bench.apply(transaction)
+	version, err := harness.apply(transaction)
 	if fault == "lost" {
 		return 0, bvplatform.ErrUnknown
 	}
 	return version, err
 }
 
-func (bench *bench) apply(transaction bvplatform.Transaction) (int64, error) {
+func (harness *harness) apply(transaction bvplatform.Transaction) (int64, error) {
 	var checks []bvplatform.Check
 	for _, check := range transaction.Checks {
-		if bench.ignore == "" || !strings.HasPrefix(check.Key, bench.ignore) {
+		if harness.ignore == "" || !strings.HasPrefix(check.Key, harness.ignore) {
 			checks = append(checks, check)
 		}
 	}
 	transaction.Checks = checks
-	return bench.Commit(context.Background(), transaction)
+	return harness.Commit(context.Background(), transaction)
 }
 
-func (bench *bench) land() {
-	for _, transaction := range bench.late {
-		_, _ = bench.apply(transaction)
+func (harness *harness) applyLate() {
+	for _, transaction := range harness.late {
+		_, _ = harness.apply(transaction)
 	}
-	bench.late = nil
+	harness.late = nil
 }
 
-// step carries out the effects of one tick.
-func (bench *bench) step() bool {
-	effects := bench.committer.Tick(bench.now)
+// step carries out the effects of one Tick and reports whether there were any.
+func (harness *harness) step() bool {
+	effects := harness.committer.Tick(harness.now)
 	for _, effect := range effects {
 		switch effect := effect.(type) {
 		case bvcommit.Write:
-			version, err := bench.write(effect.Transaction)
-			bench.committer.HandleWrite(bench.now, version, err)
+			version, err := harness.write(effect.Transaction)
+			harness.committer.HandleWrite(harness.now, version, err)
 		case bvcommit.Read:
-			rows, err := bench.Read(context.Background(), effect.Key)
-			bench.committer.HandleRead(bench.now, rows[0], err)
+			rows, err := harness.Read(context.Background(), effect.Key)
+			harness.committer.HandleRead(harness.now, rows[0], err)
 		case bvcommit.Done:
-			if _, twice := bench.done[effect.Entry]; twice {
+			if _, twice := harness.done[effect.Entry]; twice {
 				panic("an entry has two outcomes")
 			}
-			bench.done[effect.Entry] = effect
+			harness.done[effect.Entry] = effect
 		}
 	}
 	return len(effects) > 0
 }
 
-func (bench *bench) run() {
+func (harness *harness) run() {
 	for range 100 {
-		if bench.step() {
+		if harness.step() {
 			continue
 		}
-		next, ok := bench.committer.Next()
+		next, ok := harness.committer.Next()
 		if !ok {
 			return
 		}
-		bench.now = max(bench.now, next)
+		harness.now = max(harness.now, next)
 	}
-	panic("committer without end")
+	panic("committer does not finish")
 }
 
 func put(id bvledger.EntryID, key string, version int64) bvledger.Entry {
@@ -121,138 +121,141 @@
 	}
 }
 
-func (bench *bench) value(key string) string {
-	rows, _ := bench.Read(context.Background(), key)
+func (harness *harness) value(key string) string {
+	rows, _ := harness.Read(context.Background(), key)
 	return string(rows[0].Value)
 }
 
 func TestEntriesShareOneTransaction(t *testing.T) {
-	bench := newBench()
-	bench.committer.Add(put(1, "a", 0))
-	bench.committer.Add(put(2, "b", 0))
-	require.Equal(t, 2, bench.committer.Pending())
-	bench.run()
-	require.Equal(t, []int{2}, bench.batches)
-	require.NoError(t, bench.done[1].Err)
-	require.Equal(t, bench.done[1].Version, bench.done[2].Version)
-	require.Zero(t, bench.committer.Pending())
+	harness := newHarness()
+	harness.committer.Add(put(1, "a", 0))
+	harness.committer.Add(put(2, "b", 0))
+	require.Equal(t, 2, harness.committer.Pending())
+	harness.run()
+	require.Equal(t, []int{2}, harness.batches)
+	require.NoError(t, harness.done[1].Err)
+	require.Equal(t, harness.done[1].Version, harness.done[2].Version)
+	require.Zero(t, harness.committer.Pending())
 }
 
 func TestConflictDropsOnlyItsOwnEntry(t *testing.T) {
-	bench := newBench()
-	bench.committer.Add(put(1, "a", 0))
-	bench.committer.Add(put(2, "b", 7))
-	bench.run()
-	require.NoError(t, bench.done[1].Err)
+	harness := newHarness()
+	harness.committer.Add(put(1, "a", 0))
+	harness.committer.Add(put(2, "b", 7))
+	harness.run()
+	require.NoError(t, harness.done[1].Err)
 	var conflict *bvplatform.ConflictError
-	require.ErrorAs(t, bench.done[2].Err, &conflict)
+	require.ErrorAs(t, harness.done[2].Err, &conflict)
 	require.Equal(t, []string{"b"}, conflict.Keys)
 }
 
-// Guards against a write that conflicts with itself after its answer was lost.
+// Guards against a write that conflicts with its own earlier attempt, whose answer was
+// lost.
 func TestLostAnswerIsResolvedByTheMarker(t *testing.T) {
-	bench := newBench()
-	bench.fault = "lost"
-	bench.committer.Add(put(1, "a", 0))
-	bench.run()
-	require.NoError(t, bench.done[1].Err)
-	rows, err := bench.Read(t.Context(), "a")
+	harness := newHarness()
+	harness.fault = "lost"
+	harness.committer.Add(put(1, "a", 0))
+	harness.run()
+	require.NoError(t, harness.done[1].Err)
+	rows, err := harness.Read(t.Context(), "a")
 	require.NoError(t, err)
-	require.Equal(t, rows[0].Version, bench.done[1].Version)
-	require.EqualValues(t, 1, bench.committer.Writes())
+	require.Equal(t, rows[0].Version, harness.done[1].Version)
+	require.EqualValues(t, 1, harness.committer.Writes())
 }
 
 // Guards against a first attempt that takes effect after the second one.
 func TestLateWriteAppliesNothing(t *testing.T) {
-	bench := newBench()
-	bench.fault = "late"
+	harness := newHarness()
+	harness.fault = "late"
 	entry := put(1, "a", 0)
 	entry.Checks = nil // only the marker can stop it
-	bench.committer.Add(entry)
-	bench.run()
-	require.NoError(t, bench.done[1].Err)
-	bench.committer.Add(put(2, "a", bench.done[1].Version))
-	bench.run()
-	bench.land()
-	require.Equal(t, "2", bench.value("a"))
+	harness.committer.Add(entry)
+	harness.run()
+	require.NoError(t, harness.done[1].Err)
+	harness.committer.Add(put(2, "a", harness.done[1].Version))
+	harness.run()
+	harness.applyLate()
+	require.Equal(t, "2", harness.value("a"))
 }
 
-// Guards against a conflict with one's own late write that counts as another host's.
-func TestConflictWithOnesOwnLateWriteIsSuccess(t *testing.T) {
-	bench := newBench()
-	bench.fault = "late"
-	bench.committer.Add(put(1, "a", 0))
-	for len(bench.late) == 0 {
-		bench.step()
+// Guards against a late write of this committer that is taken for a conflict with
+// another host.
+func TestConflictWithOwnLateWriteIsSuccess(t *testing.T) {
+	harness := newHarness()
+	harness.fault = "late"
+	harness.committer.Add(put(1, "a", 0))
+	for len(harness.late) == 0 {
+		harness.step()
 	}
-	next, _ := bench.committer.Next()
-	bench.now = next
-	effects := bench.committer.Tick(bench.now)
+	next, _ := harness.committer.Next()
+	harness.now = next
+	effects := harness.committer.Tick(harness.now)
 	require.IsType(t, bvcommit.Read{}, effects[0])
-	bench.committer.HandleRead(bench.now, bvplatform.Row{}, nil) // not yet there
-	bench.land()
-	bench.run()
-	require.NoError(t, bench.done[1].Err)
+	harness.committer.HandleRead(harness.now, bvplatform.Row{}, nil) // the write has not taken effect yet
+	harness.applyLate()
+	harness.run()
+	require.NoError(t, harness.done[1].Err)
 }
 
 func TestEntriesOfOneRowGoIntoDifferentTransactions(t *testing.T) {
-	bench := newBench()
-	bench.committer.Add(put(1, "a", 0))
-	bench.committer.Add(put(2, "a", 1))
-	bench.run()
-	require.Equal(t, []int{1, 1}, bench.batches)
-	require.NoError(t, bench.done[2].Err)
+	harness := newHarness()
+	harness.committer.Add(put(1, "a", 0))
+	harness.committer.Add(put(2, "a", 1))
+	harness.run()
+	require.Equal(t, []int{1, 1}, harness.batches)
+	require.NoError(t, harness.done[2].Err)
 }
 
 func TestIntervalSpacesTransactions(t *testing.T) {
-	bench := newBench()
-	bench.committer.SetInterval(bvclock.Second)
-	bench.committer.Add(put(1, "a", 0))
-	bench.step()
-	bench.now = 10
-	bench.committer.Add(put(2, "b", 0))
-	bench.step()
-	bench.step()
-	require.NotContains(t, bench.done, bvledger.EntryID(2))
-	next, ok := bench.committer.Next()
+	harness := newHarness()
+	harness.committer.SetInterval(bvclock.Second)
+	harness.committer.Add(put(1, "a", 0))
+	harness.step()
+	harness.now = 10
+	harness.committer.Add(put(2, "b", 0))
+	harness.step()
+	harness.step()
+	require.NotContains(t, harness.done, bvledger.EntryID(2))
+	next, ok := harness.committer.Next()
 	require.True(t, ok)
 	require.EqualValues(t, 1000, next)
-	bench.run()
-	require.Contains(t, bench.done, bvledger.EntryID(2))
+	harness.run()
+	require.Contains(t, harness.done, bvledger.EntryID(2))
 }
 
 func TestTransactionsAreBounded(t *testing.T) {
-	bench := newBench()
-	bench.committer.SetMaxBatch(2, 1000)
+	harness := newHarness()
+	harness.committer.SetMaxBatch(2, 1000)
 	for id := range bvledger.EntryID(5) {
-		bench.committer.Add(put(id, fmt.Sprintf("row-%d", id), 0))
+		harness.committer.Add(put(id, fmt.Sprintf("row-%d", id), 0))
 	}
-	bench.run()
-	require.Equal(t, []int{2, 2, 1}, bench.batches)
+	harness.run()
+	require.Equal(t, []int{2, 2, 1}, harness.batches)
 }
 
-// Guards against a turn that is too large and holds up all programs of its host.
-func TestRejectedEntryHoldsUpNoOthers(t *testing.T) {
-	bench := newBench()
-	bench.fault = "reject"
-	bench.sticky = true
-	bench.committer.Add(put(1, "a", 0))
-	bench.committer.Add(put(2, "poison", 0))
-	bench.committer.Add(put(3, "b", 0))
-	bench.run()
-	require.NoError(t, bench.done[1].Err)
-	require.ErrorIs(t, bench.done[2].Err, bvplatform.ErrRejected)
-	require.NoError(t, bench.done[3].Err)
+// Guards against a turn that is too large and blocks all programs of its host.
+func TestRejectedEntryBlocksNoOthers(t *testing.T) {
+	harness := newHarness()
+	harness.fault = "reject"
+	harness.sticky = true
+	harness.committer.Add(put(1, "a", 0))
+	harness.committer.Add(put(2, "poison", 0))
+	harness.committer.Add(put(3, "b", 0))
+	harness.run()
+	require.NoError(t, harness.done[1].Err)
+	require.ErrorIs(t, harness.done[2].Err, bvplatform.ErrRejected)
+	require.NoError(t, harness.done[3].Err)
 }
 
-// unchecked is a row whose entries have no check of their own: only the marker
-// guards it.
+// unchecked is the key of a row whose entries have no check of their own: only the
+// marker protects it.
 const unchecked = "c"
 
-// counters is the fuzz: each entry counts a row up by one, on the version that
-// the last outcome gave. The oracle counts the entries that were told done.
+// counters is the model of the fuzz test: each entry increments a row by one, checked
+// against the version of the last outcome. The oracle counts the entries that were
+// reported as done.
 type counters struct {
-	*bench
+	*harness
 	version map[string]int64
 	count   map[string]int
 	key     map[bvledger.EntryID]string
@@ -273,15 +276,15 @@
 	counters.committer.Add(entry)
 }
 
-func (counters *counters) hear(fail func(string, ...any)) {
+func (counters *counters) checkOutcomes(fail func(string, ...any)) {
 	for id, key := range counters.key {
-		done, told := counters.done[id]
-		if !told {
+		done, found := counters.done[id]
+		if !found {
 			continue
 		}
 		delete(counters.key, id)
 		if done.Err != nil {
-			fail("entry %d of %s was refused, although nobody else writes: %v", id, key, done.Err)
+			fail("entry %d of %s failed without another writer: %v", id, key, done.Err)
 		}
 		counters.version[key] = done.Version
 		counters.count[key]++
@@ -303,31 +306,31 @@
 	return false
 }
 
-func exactlyOnce(t *rapid.T, ignore string) {
+func checkExactlyOnce(t *rapid.T, ignore string) {
 	counters := &counters{
-		bench: newBench(), version: make(map[string]int64),
+		harness: newHarness(), version: make(map[string]int64),
 		count: make(map[string]int), key: make(map[bvledger.EntryID]string),
 	}
 	counters.ignore = ignore
 	t.Repeat(map[string]func(*rapid.T){
 		"add":   func(t *rapid.T) { counters.add(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "key")) },
 		"fault": func(t *rapid.T) { counters.fault = rapid.SampledFrom([]string{"lost", "late", "down"}).Draw(t, "kind") },
-		"land":  func(*rapid.T) { counters.land() },
+		"land":  func(*rapid.T) { counters.applyLate() },
 		"step":  func(*rapid.T) { counters.step() },
 		"steps": func(*rapid.T) { counters.step(); counters.step(); counters.step() },
 		"wait":  func(*rapid.T) { counters.now = counters.now.Add(bvclock.Second) },
-		"":      func(t *rapid.T) { counters.hear(t.Fatalf) },
+		"":      func(t *rapid.T) { counters.checkOutcomes(t.Fatalf) },
 	})
 	counters.fault = ""
-	counters.land()
+	counters.applyLate()
 	counters.run()
-	counters.hear(t.Fatalf)
+	counters.checkOutcomes(t.Fatalf)
 	if len(counters.key) > 0 {
 		t.Fatalf("%d entries have no outcome", len(counters.key))
 	}
 }
 
-func fixed(t *testing.T) {
+func setRapidFlags(t *testing.T) {
 	t.Helper()
 	for name, value := range map[string]string{"rapid.seed": "4", "rapid.nofailfile": "true", "rapid.shrinktime": "0s", "rapid.checks": "10000", "rapid.steps": "60"} {
 		known := flag.Lookup(name)
@@ -339,10 +342,10 @@
 	}
 }
 
-// Guards against entries that apply twice, or never, whatever is lost or late.
+// Guards against entries that apply twice, or never, after lost answers and late writes.
 func TestEntriesApplyExactlyOnceUnderFaults(t *testing.T) {
-	fixed(t)
-	rapid.Check(t, func(t *rapid.T) { exactlyOnce(t, "") })
+	setRapidFlags(t)
+	rapid.Check(t, func(t *rapid.T) { checkExactlyOnce(t, "") })
 }
 
 type recorder struct {
@@ -357,16 +360,16 @@
 func (recorder *recorder) FailNow()              {}
 
 func TestOracleCatchesAPlatformThatIgnoresTheMarker(t *testing.T) {
-	fixed(t)
+	setRapidFlags(t)
 	recorder := &recorder{T: t}
-	rapid.Check(recorder, func(t *rapid.T) { exactlyOnce(t, "commit/") })
+	rapid.Check(recorder, func(t *rapid.T) { checkExactlyOnce(t, "commit/") })
 	require.True(t, recorder.failed)
 }
 
-// BenchmarkCommitBatch is the cost of one entry in a full batch, platform in
-// memory included.
+// BenchmarkCommitBatch measures the cost of one entry in a full batch, including the
+// in-memory platform.
 func BenchmarkCommitBatch(b *testing.B) {
-	bench := newBench()
+	harness := newHarness()
 	versions := make([]int64, bvcommit.DefaultMaxEntries)
 	keys := make([]string, bvcommit.DefaultMaxEntries)
 	for i := range keys {
@@ -379,17 +382,17 @@
 		first := id
 		for i, key := range keys {
 			id++
-			bench.committer.Add(bvledger.Entry{
+			harness.committer.Add(bvledger.Entry{
 				ID:     id,
 				Checks: []bvplatform.Check{{Key: key, Version: versions[i]}},
 				Puts:   []bvplatform.Put{{Key: key, Value: value}},
 			})
 		}
-		bench.run()
+		harness.run()
 		for i := range keys {
-			versions[i] = bench.done[first+bvledger.EntryID(i)+1].Version
+			versions[i] = harness.done[first+bvledger.EntryID(i)+1].Version
 		}
-		clear(bench.done)
+		clear(harness.done)
 	}
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(len(keys)), "ns/entry")
 }
--- a/bvcommit/outcome.go
+++ b/bvcommit/outcome.go
@@ -10,7 +10,7 @@
 	"balsamvalve.example/bvplatform"
 )
 
-// HandleWrite tells the outcome of the last Write.
+// HandleWrite processes the outcome of the last Write.
 func (committer *Committer) HandleWrite(now bvclock.Time, version int64, err error) {
 	if committer.phase != phaseWriting {
 		return
@@ -18,92 +18,93 @@
 	var conflict *bvplatform.ConflictError
 	switch {
 	case err == nil:
-		committer.applied(version)
+		committer.completeBatch(version)
 	case errors.As(err, &conflict):
-		committer.conflicted(now, conflict)
+		committer.handleConflict(now, conflict)
 	case errors.Is(err, bvplatform.ErrUnavailable) && !errors.Is(err, bvplatform.ErrUnknown):
-		committer.pause(now)
+		committer.scheduleRetry(now)
 	case isRejection(err):
-		committer.rejected(now, err)
+		committer.handleRejection(now, err)
 	default:
-		committer.lost = append(committer.lost, committer.attempt)
-		committer.pause(now)
+		committer.unresolved = append(committer.unresolved, committer.attempt)
+		committer.scheduleRetry(now)
 	}
 }
 
-// applied tells all entries of the batch that they are durable.
-func (committer *Committer) applied(version int64) {
-	committer.marker = version
+// completeBatch reports all entries of the batch as durable.
+func (committer *Committer) completeBatch(version int64) {
+	committer.markerVersion = version
 	batch := committer.batch
 	committer.reset()
 	for _, entry := range batch {
-		committer.done(Done{Entry: entry.ID, Version: version})
+		committer.emitDone(Done{Entry: entry.ID, Version: version})
 	}
 }
 
 func (committer *Committer) reset() {
 	committer.batch = nil
-	committer.lost = nil
-	committer.asked = nil
+	committer.unresolved = nil
+	committer.pendingConflict = nil
 	committer.backoff = 0
 	committer.phase = phaseIdle
 }
 
-func (committer *Committer) done(done Done) {
+func (committer *Committer) emitDone(done Done) {
 	committer.effects = append(committer.effects, done)
 }
 
-// pause has the batch tried again later, at a growing distance.
-func (committer *Committer) pause(now bvclock.Time) {
+// scheduleRetry schedules a retry of the batch, with exponential backoff.
+func (committer *Committer) scheduleRetry(now bvclock.Time) {
 	committer.backoff = min(max(2*committer.backoff, DefaultBackoff), DefaultMaxBackoff)
 	committer.retryAt = now.Add(max(committer.backoff, committer.interval))
-	committer.phase = phasePaused
+	committer.phase = phaseBackoff
 }
 
-// conflicted drops the entries whose checks failed and tries the rest. If an
-// earlier attempt was lost, the conflict may be its own work: the marker is
-// read first.
-func (committer *Committer) conflicted(now bvclock.Time, conflict *bvplatform.ConflictError) {
-	if len(committer.lost) > 0 || slices.Contains(conflict.Keys, committer.MarkerKey()) {
-		committer.asked = conflict
-		committer.read()
+// handleConflict drops the entries whose checks failed and retries the rest. If the
+// outcome of an earlier attempt is unknown, that attempt may have caused the conflict:
+// the marker is read first.
+func (committer *Committer) handleConflict(now bvclock.Time, conflict *bvplatform.ConflictError) {
+	if len(committer.unresolved) > 0 || slices.Contains(conflict.Keys, committer.MarkerKey()) {
+		committer.pendingConflict = conflict
+		committer.readMarker()
 		return
 	}
-	committer.drop(now, conflict)
+	committer.dropConflicting(now, conflict)
 }
 
-// drop tells the entries that conflict, and goes on with the others.
+// dropConflicting reports the entries that conflict as failed, and continues with the
+// others.
 //
-// A lost attempt that holds a dropped entry can't be applied any more: the
-// check that failed fails for good, since versions are never used twice. One
-// exception is the check for absence of a row, which would hold again if the
-// row were deleted; therefore a batch that has lost attempts is closed by a
-// write of the marker, even if it has no entries left.
-func (committer *Committer) drop(now bvclock.Time, conflict *bvplatform.ConflictError) {
+// An unresolved attempt that contains a dropped entry can no longer be applied: the
+// check that failed always fails, since versions are never used twice. One exception
+// is a check that a row is absent, which would succeed again if the row were deleted;
+// therefore a batch with unresolved attempts ends with a write of the marker, even if
+// it has no entries left.
+func (committer *Committer) dropConflicting(now bvclock.Time, conflict *bvplatform.ConflictError) {
 	var rest []bvledger.Entry
 	for _, entry := range committer.batch {
-		keys := conflicting(entry, conflict.Keys)
+		keys := conflictingKeys(entry, conflict.Keys)
 		if len(keys) == 0 {
 			rest = append(rest, entry)
 			continue
 		}
-		committer.done(Done{Entry: entry.ID, Err: &bvplatform.ConflictError{Keys: keys}})
+		committer.emitDone(Done{Entry: entry.ID, Err: &bvplatform.ConflictError{Keys: keys}})
 	}
 	dropped := len(rest) < len(committer.batch)
 	committer.batch = rest
-	committer.asked = nil
-	if len(rest) == 0 && len(committer.lost) == 0 {
+	committer.pendingConflict = nil
+	if len(rest) == 0 && len(committer.unresolved) == 0 {
 		committer.reset()
 		return
 	}
 	if !dropped {
-		committer.pause(now)
+		committer.scheduleRetry(now)
 		return
 	}
-	committer.write(now)
+	committer.writeBatch(now)
 }
 
-func conflicting(entry bvledger.Entry, keys []string) []string {
+func conflictingKeys(entry bvledger.Entry, keys []string) []string {
 	var own []string
 	for _, check := range entry.Checks {
 		if slices.Contains(keys, check.Key) {
@@ -113,48 +114,49 @@
 	return own
 }
 
-// isRejection reports whether the platform will never take the transaction,
-// for instance because it is too large.
+// isRejection reports whether the platform will never accept the transaction, for
+// instance because it is too large.
 func isRejection(err error) bool {
 	return errors.Is(err, bvplatform.ErrRejected)
 }
 
-// rejected tries the entries of a rejected batch one by one, so that one that
-// the platform will never take holds up no others, and gives that one up.
-func (committer *Committer) rejected(now bvclock.Time, err error) {
-	if len(committer.lost) > 0 {
-		committer.pause(now)
+// handleRejection queues the entries of a rejected batch to be written one at a time,
+// so that an entry that the platform never accepts doesn't block the others. An entry
+// that is rejected alone fails.
+func (committer *Committer) handleRejection(now bvclock.Time, err error) {
+	if len(committer.unresolved) > 0 {
+		committer.scheduleRetry(now)
 		return
 	}
 	if len(committer.batch) == 1 {
 		entry := committer.batch[0]
 		committer.reset()
-		committer.done(Done{Entry: entry.ID, Err: fmt.Errorf("commit: entry given up: %w", err)})
+		committer.emitDone(Done{Entry: entry.ID, Err: fmt.Errorf("commit: entry rejected: %w", err)})
 		return
 	}
-	committer.solo = len(committer.batch)
+	committer.singles = len(committer.batch)
 	committer.queue = append(committer.batch, committer.queue...)
 	committer.reset()
 }
 
-// HandleRead tells the outcome of the last Read.
+// HandleRead processes the outcome of the last Read.
 func (committer *Committer) HandleRead(now bvclock.Time, row bvplatform.Row, err error) {
 	if committer.phase != phaseReading {
 		return
 	}
 	if err != nil {
-		committer.pause(now)
+		committer.scheduleRetry(now)
 		return
 	}
-	if slices.Contains(committer.lost, row.Attempt) {
-		committer.applied(row.Version)
+	if slices.Contains(committer.unresolved, row.Attempt) {
+		committer.completeBatch(row.Version)
 		return
 	}
-	committer.marker = row.Version
+	committer.markerVersion = row.Version
 	var conflict *bvplatform.ConflictError
-	if errors.As(committer.asked, &conflict) {
-		committer.drop(now, conflict)
+	if errors.As(committer.pendingConflict, &conflict) {
+		committer.dropConflicting(now, conflict)
 		return
 	}
-	committer.write(now)
+	committer.writeBatch(now)
 }
--- a/bvcommit/pace_test.go
+++ b/bvcommit/pace_test.go
@@ -10,9 +10,9 @@
 	"balsamvalve.example/bvplatform"
 )
 
-// writesBy counts the transactions that start by a time when an entry is
-// always waiting and each write is answered at once.
-func writesBy(committer *Committer, end bvclock.Time) int {
+// countWrites returns how many transactions have started at a given time if an entry
+// is always queued and each write is answered immediately.
+func countWrites(committer *Committer, end bvclock.Time) int {
 	count := 0
 	for now := bvclock.Time(0); now <= end; now++ {
 		committer.Add(bvledger.Entry{ID: bvledger.EntryID(now + 1), Puts: []bvplatform.Put{{Key: "k"}}})
@@ -26,7 +26,7 @@
 	return count
 }
 
-func bursting() *Committer {
+func newBurstCommitter() *Committer {
 	committer := New("host-1", "a")
 	committer.SetInterval(100)
 	committer.SetBurst(5)
@@ -34,15 +34,15 @@
 }
 
 func TestBurstStartsWithoutWaiting(t *testing.T) {
-	require.Equal(t, 5, writesBy(bursting(), 99))
+	require.Equal(t, 5, countWrites(newBurstCommitter(), 99))
 }
 
 func TestRateHoldsAfterABurst(t *testing.T) {
-	require.Equal(t, 5+10, writesBy(bursting(), 1099))
+	require.Equal(t, 5+10, countWrites(newBurstCommitter(), 1099))
 }
 
 func TestWithoutABurstWritesAreAnIntervalApart(t *testing.T) {
 	committer := New("host-1", "a")
 	committer.SetInterval(100)
-	require.Equal(t, 10, writesBy(committer, 999))
+	require.Equal(t, 10, countWrites(committer, 999))
 }
