--- a/bvledger/account.go
+++ b/bvledger/account.go
@@ -5,32 +5,32 @@
 	"balsamvalve.example/bvverdict"
 )
 
-// accountRow counts what a program has drawn from its budget, for itself and
-// for its sub-agents. It stands beside the head row because sub-agents on
-// other hosts write it too, which must not look like a change of owner.
+// accountRow records how much a program has drawn from its budget, for itself and for
+// its sub-agents. It is separate from the head row because sub-agents on other hosts
+// write it too, which must not be taken for a change of owner.
 type accountRow struct {
 	Parent string `json:"parent,omitempty"`
 	Budget int64  `json:"budget"` // 0 means unbounded
 	Drawn  int64  `json:"drawn"`
 }
 
-// account is this host's view of an account row. The view may be old: every
-// write is conditional on its version, and a conflict has it read again.
+// account is this host's view of an account row. The view may be outdated: every write
+// is conditional on its version, and after a conflict the row is read again.
 type account struct {
-	key     string
-	row     accountRow
-	durable accountRow // as last read or written
-	version int64
-	known   bool
-	busy    bool // an entry that writes it is under way
+	key      string
+	row      accountRow
+	durable  accountRow // as last read or written
+	version  int64
+	known    bool
+	inFlight bool // an entry that writes the row is in flight
 }
 
-func (account *account) take(row bvplatform.Row) error {
+func (account *account) update(row bvplatform.Row) error {
 	value, err := decode[accountRow](row)
 	if err != nil {
 		return err
 	}
-	if account.busy || account.known && row.Version < account.version {
+	if account.inFlight || account.known && row.Version < account.version {
 		return nil
 	}
 	account.row = value
@@ -40,17 +40,16 @@
 	return nil
 }
 
-func (account *account) bounded() bool {
+func (account *account) isBounded() bool {
 	return account.row.Budget > 0
 }
 
-// left is what may still be drawn.
-func (account *account) left() int64 {
+// remaining returns how much may still be drawn.
+func (account *account) remaining() int64 {
 	return account.row.Budget - account.row.Drawn
 }
 
-// maxDepth bounds the chain of parents, so that a chain that comes back to
-// itself ends.
+// maxDepth bounds the chain of parents, so that a cycle in it is not followed forever.
 const maxDepth = 16
 
 func (ledger *Ledger) account(key ProgramKey) *account {
@@ -63,10 +62,10 @@
 	return found
 }
 
-// chain returns the accounts that the program draws from: its own and those
-// of its ancestors, each of which must have room for what a descendant
-// spends. The second result names rows that must be read first.
-func (ledger *Ledger) chain(program *program) (accounts []*account, missing []string, _ *bvverdict.Error) {
+// accountChain returns the accounts that the program draws from: its own and those of
+// its ancestors, each of which must cover what a descendant spends. The second result
+// lists the keys of rows that must be read first.
+func (ledger *Ledger) accountChain(program *program) (accounts []*account, missing []string, _ *bvverdict.Error) {
 	own := ledger.account(program.key)
 	if !own.known {
 		return nil, []string{AccountKey(program.key)}, nil
@@ -95,62 +94,64 @@
 	return accounts, nil, nil
 }
 
-// draw is what one entry changes in one account.
+// draw is the change of one account by one entry.
 type draw struct {
 	account *account
 	row     accountRow
 }
 
-// anyBounded reports whether the program has to draw at all.
-func anyBounded(accounts []*account) bool {
+// hasBounded reports whether any of the accounts has a budget, so that the program has
+// to draw at all.
+func hasBounded(accounts []*account) bool {
 	for _, account := range accounts {
-		if account.bounded() {
+		if account.isBounded() {
 			return true
 		}
 	}
 	return false
 }
 
-// room is the most that all the accounts allow to draw.
-func room(accounts []*account) int64 {
-	least := int64(-1)
+// remainingBudget returns the largest draw that all the accounts allow, or -1 if none
+// of them is bounded.
+func remainingBudget(accounts []*account) int64 {
+	lowest := int64(-1)
 	for _, account := range accounts {
-		if account.bounded() && (least < 0 || account.left() < least) {
-			least = max(account.left(), 0)
+		if account.isBounded() && (lowest < 0 || account.remaining() < lowest) {
+			lowest = max(account.remaining(), 0)
 		}
 	}
-	return least
+	return lowest
 }
 
-// smallestBudget is the tightest budget of the accounts.
-func smallestBudget(accounts []*account) int64 {
+// minBudget returns the smallest budget of the accounts, or 0 if none is bounded.
+func minBudget(accounts []*account) int64 {
 	var smallest int64
 	for _, account := range accounts {
-		if account.bounded() && (smallest == 0 || account.row.Budget < smallest) {
+		if account.isBounded() && (smallest == 0 || account.row.Budget < smallest) {
 			smallest = account.row.Budget
 		}
 	}
 	return smallest
 }
 
-// blockShare keeps a block below this part of the budget, so that what a
-// takeover counts as spent stays small.
-const blockShare = 8
+// blockDivisor limits a block to this fraction of the budget, 1/blockDivisor, so that a
+// takeover, which counts the block as spent, loses little.
+const blockDivisor = 8
 
-// blockSize returns how much to draw so that need is covered, and later calls
-// of the same cost too where there is room; 0 if need can't be covered.
+// blockSize returns how much to draw to cover need, and if the accounts allow it also
+// later calls of the same cost; 0 if need can't be covered.
 func (ledger *Ledger) blockSize(accounts []*account, need, cost int64) int64 {
-	available := room(accounts)
+	available := remainingBudget(accounts)
 	if need > available {
 		return 0
 	}
-	wanted := min(ledger.settings.BlockCalls*cost, smallestBudget(accounts)/blockShare)
+	wanted := min(ledger.settings.BlockCalls*cost, minBudget(accounts)/blockDivisor)
 	return min(max(need, wanted), available)
 }
 
-func anyBusy(accounts []*account) bool {
+func hasInFlight(accounts []*account) bool {
 	for _, account := range accounts {
-		if account.busy {
+		if account.inFlight {
 			return true
 		}
 	}
--- a/bvledger/call.go
+++ b/bvledger/call.go
@@ -14,12 +14,11 @@
 	Program string
 }
 
-// Limits are the cells of the operators' table that bind a program.
-// Zero means unbounded.
+// Limits are the limits of a program from the operators' table. Zero means unbounded.
 type Limits struct {
 	Budget int64            // work units that the program may spend in all
 	Turns  int              // calls that the program may make
-	Idle   bvclock.Duration // after which the program counts as lost and ends
+	Idle   bvclock.Duration // after which the program counts as abandoned and ends
 }
 
 // Call is one call of a program.
@@ -28,61 +27,61 @@
 	Key          ProgramKey
 	Parent       string // program of the same member that started this one
 	Request      string // the caller's id of the call, the same in a repeat
-	Turn         int    // from 1, as the caller numbered it; 0 means the next
-	Digest       string // of the body: a repeat must carry the same
+	Turn         int    // from 1, as numbered by the caller; 0 means the next one
+	Digest       string // of the body: a repeat must have the same
 	Unrepeatable bool
-	Resent       bool   // the caller has sent the request before: a refusal then never says that it was not run
-	FullHistory  bool   // Messages carry the whole history, not only what is new
+	Resent       bool   // the caller has sent the request before: its refusal is then never "not run"
+	FullHistory  bool   // Messages contains the whole history, not only the new messages
 	Messages     []byte // JSON array of the call's new messages
-	Cost         int64  // most that the call can spend, in work units, without HistoryCost
-	HistoryCost  int64  // what each byte of the history that comes before the call adds to Cost
+	Cost         int64  // maximum that the call can spend, in work units, without HistoryCost
+	HistoryCost  int64  // added to Cost for each byte of the history before the call
 	Deadline     bvclock.Time
 	Limits       Limits
 }
 
-// Result is how a started call ended.
+// Result is the outcome of a started call.
 type Result struct {
 	Answer   []byte // complete answer; nil with Err
 	Message  []byte // JSON array of messages that the answer adds to the history
 	Spent    int64  // work units
-	Endpoint string // that may hold the program's cache now
-	// Err is set when there is no complete answer; its verdict says whether
-	// the call may have run.
+	Endpoint string // endpoint that may hold the program's cache now
+	// Err is set when there is no complete answer; its verdict states whether the
+	// call may have run.
 	Err *bvverdict.Error
 }
 
-// Effect is something that the ledger wants done.
+// Effect is an action that the caller must carry out for the ledger.
 type Effect interface{ effect() }
 
-// Load wants the program's rows read; the answer is given to HandleRows.
+// Load asks for rows of the program to be read. Pass the result to HandleRows.
 type Load struct {
 	Key       ProgramKey
 	Keys      []string // rows to read
-	ScanTurns bool     // scan the prefix TurnPrefix(Key) too, to its end, after the rows are read
+	ScanTurns bool     // after reading the rows, also scan the prefix TurnPrefix(Key) to its end
 }
 
-// Commit wants rows written; the outcome is given to HandleCommit. Entries of
-// many programs may be written in one transaction.
+// Commit asks for rows to be written. Pass the outcome to HandleCommit. Entries of many
+// programs may be written in one transaction.
 type Commit struct {
 	Entry Entry
 }
 
-// Start lets the call run now. History is the JSON array of messages that
-// come before the call's own.
+// Start asks for the call to be run now. History is the JSON array of the messages
+// before the call's own.
 type Start struct {
 	Call     CallID
 	History  []byte
 	Turn     int
 	Epoch    int64
 	Attained int64  // work units that the program has spent so far
-	Endpoint string // that ran the program's last turn, if any
+	Endpoint string // endpoint that ran the program's last turn, if any
 }
 
-// Answer ends a call with a complete answer that is kept durably.
+// Answer ends a call with a complete answer that is durable.
 type Answer struct {
 	Call     CallID
 	Answer   []byte
-	Repeated bool // the answer was kept before, this call ran nothing
+	Repeated bool // the answer is that of an earlier call; this one did not run
 	Turn     int
 }
 
@@ -92,14 +91,15 @@
 	Err  *bvverdict.Error
 }
 
-// Abort wants a started call stopped: its program ended or moved.
+// Abort asks for a started call to be stopped: its program has ended or moved to
+// another host.
 type Abort struct {
 	Call CallID
 }
 
-// Release wants the endpoints told to drop the program's cache. Confirm each
-// with ConfirmRelease. AnyEndpoint among them stands for all that could have run
-// the program.
+// Release asks for the program's cache to be dropped at the endpoints. Confirm each
+// with ConfirmRelease. AnyEndpoint stands for every endpoint that could have run the
+// program.
 type Release struct {
 	Key       ProgramKey
 	Endpoints []string
--- a/bvledger/commit.go
+++ b/bvledger/commit.go
@@ -8,10 +8,9 @@
 	"balsamvalve.example/bvplatform"
 )
 
-// HandleCommit tells the outcome of a Commit: the version that its rows have
-// now, or an error, which means that nothing of the entry was or ever will be
-// written. A *bvplatform.ConflictError on the head row means that another
-// host owns the program.
+// HandleCommit processes the outcome of a Commit: the new version of its rows, or an
+// error, which means that nothing of the entry was or ever will be written. A
+// *bvplatform.ConflictError on the head row means that another host owns the program.
 func (ledger *Ledger) HandleCommit(now bvclock.Time, id EntryID, version int64, err error) {
 	entry := ledger.entries[id]
 	if entry == nil {
@@ -20,24 +19,24 @@
 	delete(ledger.entries, id)
 	entry.done = true
 	for _, draw := range entry.draws {
-		draw.account.busy = false
+		draw.account.inFlight = false
 	}
-	if entry.stray != nil {
-		ledger.strayCommitted(entry, err)
+	if entry.detachedCall != nil {
+		ledger.completeDetached(entry, err)
 		return
 	}
 	program := entry.program
 	program.entry = nil
 	if err == nil {
-		ledger.applied(now, entry, version)
+		ledger.applyEntry(now, entry, version)
 	} else {
-		ledger.failed(now, entry, err)
+		ledger.handleFailedEntry(now, entry, err)
 	}
 	ledger.advance(now, program)
-	ledger.wakeStarved(now)
+	ledger.retryStarved(now)
 }
 
-func (ledger *Ledger) wakeStarved(now bvclock.Time) {
+func (ledger *Ledger) retryStarved(now bvclock.Time) {
 	starved := ledger.starved
 	ledger.starved = nil
 	for _, program := range starved {
@@ -45,8 +44,8 @@
 	}
 }
 
-// applied takes in that the entry is durable.
-func (ledger *Ledger) applied(now bvclock.Time, entry *entry, version int64) {
+// applyEntry updates the program's state after its entry has become durable.
+func (ledger *Ledger) applyEntry(now bvclock.Time, entry *entry, version int64) {
 	program := entry.program
 	program.headVersion = version
 	for _, draw := range entry.draws {
@@ -54,7 +53,7 @@
 		draw.account.durable = draw.row
 		draw.account.version = version
 	}
-	program.head.Drawn += entry.amount
+	program.head.Drawn += entry.drawAmount
 	program.head.Pending = entry.head.Pending
 	if entry.claim {
 		program.phase = phaseOwned
@@ -64,86 +63,86 @@
 		program.head.addEndpoints(entry.head.Endpoints)
 	}
 	if entry.handover {
-		ledger.handedOver(program)
+		ledger.completeHandover(program)
 		return
 	}
-	ledger.appliedOnce(entry, version)
-	ledger.keep(program, entry.turns)
-	program.placed = entry.head.Endpoints
+	ledger.applyRecords(entry, version)
+	ledger.completeTurns(program, entry.turns)
+	program.durableEndpoints = entry.head.Endpoints
 	if entry.ending {
-		ledger.ended(now, program)
+		ledger.completeEnd(now, program)
 	}
-	if entry.ending || program.reclaimed {
-		program.reclaimed = false
+	if entry.ending || program.claimRequested {
+		program.claimRequested = false
 		program.releasedAt = now
-		ledger.emitReleased(program)
+		ledger.emitRelease(program)
 	}
 	ledger.requeue(program)
 }
 
-func (ledger *Ledger) appliedOnce(entry *entry, version int64) {
+func (ledger *Ledger) applyRecords(entry *entry, version int64) {
 	program := entry.program
 	for _, settlement := range entry.settlements {
 		if settlement.row.State == onceAnswered {
-			delete(program.once, settlement.key) // the turn answers from now on
+			delete(program.onceRecords, settlement.key) // from now on the turn serves the answer
 			continue
 		}
-		program.once[settlement.key] = onceRecord{row: settlement.row, version: version}
+		program.onceRecords[settlement.key] = onceRecord{row: settlement.row, version: version}
 	}
 	if entry.onceKey == "" {
 		return
 	}
-	program.once[entry.onceKey] = onceRecord{row: entry.onceRow, version: version}
+	program.onceRecords[entry.onceKey] = onceRecord{row: entry.onceRow, version: version}
 	if ledger.calls[entry.call.ID] == nil {
-		program.settle(entry.call, onceRow{State: onceNotRun}) // its caller was refused meanwhile
+		program.settle(entry.call, onceRow{State: onceNotRun}) // the call has been refused in the meantime
 		return
 	}
-	entry.call.inserted = true
+	entry.call.recordInserted = true
 }
 
-// keep answers the turns that are durable now. Only then is an answer given:
-// a caller that has it must find it again, in the history and for a repeat,
-// whatever becomes of this host.
-func (ledger *Ledger) keep(program *program, turns int) {
-	for number := program.durable + 1; number <= turns; number++ {
+// completeTurns answers the calls of the turns that are now durable. An answer is never
+// sent earlier: a caller that has received it must find it again, in the history and
+// with a repeat, even if this host fails.
+func (ledger *Ledger) completeTurns(program *program, turns int) {
+	for number := program.durableTurns + 1; number <= turns; number++ {
 		turn := program.turns[number-1]
-		turn.held = number == turns
+		turn.hasAnswer = number == turns
 		turn.messages = nil
 		turn.message = nil
 		ledger.answerWaiters(turn, number)
 	}
-	if turns > program.durable && program.durable > 0 {
-		last := program.turns[program.durable-1]
-		last.held = false
+	if turns > program.durableTurns && program.durableTurns > 0 {
+		last := program.turns[program.durableTurns-1]
+		last.hasAnswer = false
 		last.answer = nil
 	}
-	program.durable = turns
+	program.durableTurns = turns
 }
 
-// failed takes in that the entry was not written. Accounts are shared with
-// other programs and a record may have been inserted elsewhere: those are
-// read again and the entry is made anew. Anything else means that what this
-// host has of the program is of no use any more.
-func (ledger *Ledger) failed(now bvclock.Time, entry *entry, err error) {
+// handleFailedEntry processes an entry that was not written. Accounts are shared with
+// other programs, and another host may have inserted a once record: after a conflict on
+// only these rows they are read again and a new entry is built. After any other failure
+// this host's state of the program is invalid and dropped.
+func (ledger *Ledger) handleFailedEntry(now bvclock.Time, entry *entry, err error) {
 	program := entry.program
 	program.settlements = append(entry.settlements, program.settlements...)
-	program.used = append(entry.used, program.used...)
+	program.usedEndpoints = append(entry.usedEndpoints, program.usedEndpoints...)
 	var conflict *bvplatform.ConflictError
-	if !errors.As(err, &conflict) || !entry.shared(conflict.Keys) {
-		ledger.lose(now, program, err)
+	if !errors.As(err, &conflict) || !entry.isSharedConflict(conflict.Keys) {
+		ledger.dropProgram(now, program, err)
 		return
 	}
 	program.dirty = true
-	ledger.forgetAccounts(conflict.Keys)
+	ledger.invalidateAccounts(conflict.Keys)
 	ledger.requeue(program)
-	ledger.read(program, false, conflict.Keys...)
+	ledger.requestRows(program, false, conflict.Keys...)
 }
 
-// forgetAccounts makes sure that nobody uses an old view of an account until
-// it has been read again. Otherwise two programs of one host that draw from
-// the same account can fail by turns for ever: while one reads, the other
-// writes on the old version, and what is read under a write is not taken.
-func (ledger *Ledger) forgetAccounts(keys []string) {
+// invalidateAccounts marks accounts as unknown until they have been read again.
+// Otherwise two programs of one host that draw from the same account can fail
+// alternately and indefinitely: while one reads, the other writes with the old version,
+// and rows that are read during a write are ignored.
+func (ledger *Ledger) invalidateAccounts(keys []string) {
 	for _, key := range keys {
 		if account := ledger.accounts[key]; account != nil {
 			account.known = false
@@ -151,8 +150,9 @@
 	}
 }
 
-// shared reports whether all the keys are rows that others write too.
-func (entry *entry) shared(keys []string) bool {
+// isSharedConflict reports whether all the keys are of rows that other programs or hosts write
+// too.
+func (entry *entry) isSharedConflict(keys []string) bool {
 	for _, key := range keys {
 		if key != entry.onceKey && !strings.HasPrefix(key, AccountTable) {
 			return false
--- a/bvledger/doubt.go
+++ b/bvledger/doubt.go
@@ -6,31 +6,31 @@
 	"balsamvalve.example/bvplatform"
 )
 
-// doubtOwnership reads the head row when a call is for a later turn than this
-// host expects, or asks for an answer that it does not have, and nothing is
-// under way.
+// verifyOwnership reads the head row again if a call is for a later turn than this host
+// expects, or fetches an answer that it does not have, while no call runs and no entry
+// is in flight.
 //
-// It guards against a stale owner that has nothing to write and so never
-// learns of its successor: it would refuse the caller's next turns as out of
-// order for as long as the caller keeps asking, and not know answers that the
-// caller was given elsewhere.
-func (ledger *Ledger) doubtOwnership(program *program) {
-	if !program.mayBeStale() || program.reloading {
+// It guards against a stale owner that has nothing to write and so never detects its
+// successor: it would refuse the caller's next turns as out of order as long as the
+// caller retries, and would not find answers that the caller received from another
+// host.
+func (ledger *Ledger) verifyOwnership(program *program) {
+	if !program.mayBeStale() || program.awaitingRows {
 		return
 	}
-	doubted := false
+	unchecked := false
 	for _, call := range program.queue {
-		doubted = doubted || !call.doubted
-		call.doubted = true
+		unchecked = unchecked || !call.ownerChecked
+		call.ownerChecked = true
 	}
-	if doubted {
-		ledger.read(program, false, HeadKey(program.key))
+	if unchecked {
+		ledger.requestRows(program, false, HeadKey(program.key))
 	}
 }
 
-// outdated reports whether the rows show that another host has written the
-// head of a program that this host owned.
-func (program *program) outdated(rows []bvplatform.Row) bool {
+// isOutdated reports whether the rows show that another host has written the head row
+// of a program that this host owned.
+func (program *program) isOutdated(rows []bvplatform.Row) bool {
 	if program.phase != phaseOwned {
 		return false
 	}
@@ -39,18 +39,18 @@
 	})
 }
 
-// unburdened reports whether this host has nothing of the program but calls
-// that were never started, so that reading it again loses nothing.
-func (program *program) unburdened() bool {
-	return program.running == nil && program.entry == nil && program.unkept() == 0 && !program.dirty &&
-		program.ending == nil && len(program.fetching) == 0 && len(program.settlements) == 0 && len(program.used) == 0
+// isDiscardable reports whether this host's state of the program consists only of calls
+// that were never started, so that it can be loaded again without loss.
+func (program *program) isDiscardable() bool {
+	return program.running == nil && program.entry == nil && program.uncommitted() == 0 && !program.dirty &&
+		program.ending == nil && len(program.fetching) == 0 && len(program.settlements) == 0 && len(program.usedEndpoints) == 0
 }
 
-// reload reads a program again that other hosts owned in the meantime, and
-// keeps the calls that wait. To refuse them would let their callers notice
-// that the program came back to a host that had it before.
-func (ledger *Ledger) reload(program *program) {
+// reloadProgram reads a program again that other hosts owned in the meantime, and keeps
+// its queued calls. Their callers would otherwise receive a refusal only because the
+// program has returned to a former owner.
+func (ledger *Ledger) reloadProgram(program *program) {
 	program.phase = phaseLoading
-	ledger.load(program, program.head.Parent)
+	ledger.loadProgram(program, program.head.Parent)
 	ledger.schedule(program)
 }
--- a/bvledger/end.go
+++ b/bvledger/end.go
@@ -5,14 +5,14 @@
 	"balsamvalve.example/bvverdict"
 )
 
-// askEnd takes in a caller's wish to end the program.
-func (ledger *Ledger) askEnd(program *program, call *call) {
+// requestEnd handles a caller's request to end the program.
+func (ledger *Ledger) requestEnd(program *program, call *call) {
 	if program.headVersion == 0 && program.entry == nil && program.phase != phaseOwned {
-		ledger.refuse(call, bvverdict.Refuse(bvverdict.UnknownProgram, "the program is not known"))
+		ledger.refuseCall(call, bvverdict.Refuse(bvverdict.UnknownProgram, "the program is not known"))
 		return
 	}
 	if program.head.State.IsEnded() {
-		ledger.answer(call, nil, 0, true)
+		ledger.answerCall(call, nil, 0, true)
 		return
 	}
 	if program.ending == nil {
@@ -21,15 +21,15 @@
 	program.ending.callers = append(program.ending.callers, call)
 }
 
-// endReady reports whether nothing has to finish before the end.
-func (program *program) endReady() bool {
+// canEnd reports whether the program is to end and no call has to finish before that.
+func (program *program) canEnd() bool {
 	return program.ending != nil && program.running == nil && !program.head.State.IsEnded()
 }
 
-// advanceEnd refuses what waits in a program that ends, and stops what runs.
-// The call is waited for, since the end returns what it didn't spend and
-// names the endpoint that it ran on.
-func (ledger *Ledger) advanceEnd(now bvclock.Time, program *program) {
+// stopCalls refuses the queued calls of a program that ends, and aborts the running
+// one. The end waits for the running call, since it returns the unspent part of that
+// call's budget and lists the endpoint that it ran on.
+func (ledger *Ledger) stopCalls(now bvclock.Time, program *program) {
 	if program.ending == nil {
 		return
 	}
@@ -48,8 +48,8 @@
 	ledger.emit(Abort{Call: call.ID})
 }
 
-// expireEnding stops waiting for an aborted call, and for a commit of the end
-// that its caller can't wait for any longer.
+// expireEnding refuses callers whose deadline passed before the commit of the end, and
+// detaches an aborted call that did not finish within AbortGrace.
 func (ledger *Ledger) expireEnding(now bvclock.Time, program *program) {
 	ending := program.ending
 	if ending == nil {
@@ -58,14 +58,14 @@
 	callers := ending.callers
 	ending.callers = nil
 	for _, caller := range callers {
-		if !due(caller.timeout(), now) {
+		if !isDue(caller.timeout(), now) {
 			ending.callers = append(ending.callers, caller)
 			continue
 		}
-		ledger.refuse(caller, bvverdict.New(bvverdict.MayHaveRun, bvverdict.PlatformUnavailable,
-			"the program's end isn't kept yet").WithRetryAfter(ledger.settings.RetryAfter))
+		ledger.refuseCall(caller, bvverdict.New(bvverdict.MayHaveRun, bvverdict.PlatformUnavailable,
+			"the program's end is not persisted yet").WithRetryAfter(ledger.settings.RetryAfter))
 	}
-	if !due(ending.abortBy, now) {
+	if !isDue(ending.abortBy, now) {
 		return
 	}
 	ending.abortBy = 0
@@ -75,49 +75,50 @@
 	running := program.running
 	program.running = nil
 	program.reserved = 0
-	// Where it runs is only known when it ends, perhaps after the release.
-	ledger.strays[running.ID] = &stray{call: &call{Call: Call{ID: running.ID, Key: running.Key}}}
+	// Its endpoint may become known only when it finishes, perhaps after the release.
+	ledger.detachedCalls[running.ID] = &detachedCall{call: &call{Call: Call{ID: running.ID, Key: running.Key}}}
 	program.head.Spent += running.Cost
-	ledger.fail(program, running, Result{Err: bvverdict.New(bvverdict.MayHaveRun, bvverdict.ProgramEnded,
+	ledger.failCall(program, running, Result{Err: bvverdict.New(bvverdict.MayHaveRun, bvverdict.ProgramEnded,
 		"the program has ended while the call ran")})
 }
 
-// ended takes in that the end is durable.
-func (ledger *Ledger) ended(now bvclock.Time, program *program) {
+// completeEnd updates the program's state and answers the callers after the end has
+// become durable.
+func (ledger *Ledger) completeEnd(now bvclock.Time, program *program) {
 	program.head.State = program.ending.state
 	for _, caller := range program.ending.callers {
-		ledger.answer(caller, nil, 0, false)
+		ledger.answerCall(caller, nil, 0, false)
 	}
 	program.ending = nil
 }
 
-func (ledger *Ledger) emitReleased(program *program) {
+func (ledger *Ledger) emitRelease(program *program) {
 	if program.head.State.IsEnded() && len(program.head.Endpoints) > 0 {
 		ledger.emit(Release{Key: program.key, Endpoints: program.head.clone().Endpoints})
 	}
 }
 
-// release goes on telling the endpoints of an ended program to drop its cache
-// until each has confirmed. The head row names them, so that another host can
-// go on after this one.
-func (ledger *Ledger) release(now bvclock.Time, program *program) {
-	if program.phase != phaseOwned || !program.head.State.IsEnded() || !program.idle() {
+// retryRelease repeats the Release of an ended program at intervals until each of its
+// endpoints has confirmed. The head row lists them, so that another host can continue
+// if this one fails.
+func (ledger *Ledger) retryRelease(now bvclock.Time, program *program) {
+	if program.phase != phaseOwned || !program.head.State.IsEnded() || !program.isIdle() {
 		return
 	}
 	if len(program.head.Endpoints) == 0 {
 		if !program.dirty {
-			ledger.close(program)
+			ledger.closeProgram(program)
 		}
 		return
 	}
-	if due(program.releasedAt.Add(ledger.settings.ReleaseInterval), now) {
+	if isDue(program.releasedAt.Add(ledger.settings.ReleaseInterval), now) {
 		program.releasedAt = now
-		ledger.emitReleased(program)
+		ledger.emitRelease(program)
 	}
 }
 
-// ConfirmRelease tells that an endpoint holds nothing of the program any more,
-// or that its incarnation is gone.
+// ConfirmRelease reports that an endpoint no longer has any cache of the program, or
+// that its incarnation no longer exists.
 func (ledger *Ledger) ConfirmRelease(now bvclock.Time, key ProgramKey, endpoint string) {
 	program := ledger.programs[key]
 	if program == nil || !program.head.State.IsEnded() {
@@ -130,21 +131,21 @@
 	ledger.advance(now, program)
 }
 
-// expireIdle ends a program that nothing was heard of for too long, and takes
-// the history of one that rests out of memory.
+// expireIdle ends a program that has been idle for its limit, and evicts the history of
+// an idle one from memory.
 func (ledger *Ledger) expireIdle(now bvclock.Time, program *program) {
-	if !program.idle() || program.dirty || program.head.State.IsEnded() {
+	if !program.isIdle() || program.dirty || program.head.State.IsEnded() {
 		return
 	}
 	owned := program.phase == phaseOwned || program.phase == phaseCold
 	if !owned {
 		return
 	}
-	if program.head.Idle > 0 && due(program.activeAt.Add(program.head.Idle), now) {
+	if program.head.Idle > 0 && isDue(program.activeAt.Add(program.head.Idle), now) {
 		program.ending = &ending{state: EndedIdle}
 		return
 	}
-	if program.phase == phaseOwned && due(program.activeAt.Add(ledger.settings.EvictAfter), now) {
+	if program.phase == phaseOwned && isDue(program.activeAt.Add(ledger.settings.EvictAfter), now) {
 		program.evict()
 	}
 }
--- a/bvledger/head.go
+++ b/bvledger/head.go
@@ -11,7 +11,7 @@
 
 //go:generate stringer -type=State,onceState -linecomment -output=state_string.go
 
-// State is how far a program has come.
+// State is the state of a program's life cycle.
 type State int
 
 // The states of a program.
@@ -22,27 +22,27 @@
 	EndedAtCallLimit              // ended at its limit of calls
 )
 
-// Ended reports whether the program takes no more calls.
+// IsEnded reports whether the program accepts no more calls.
 func (state State) IsEnded() bool {
 	return state != Running
 }
 
-// head is the row that says who owns a program and how far it has come. Only
-// the owner writes it, each time conditional on the version it wrote before,
-// so a stale owner's next write fails.
+// head is the row with a program's owner and progress. Only the owner writes it, each
+// time conditional on the version of its previous write, so a stale owner's next write
+// fails.
 type head struct {
 	Epoch     int64            `json:"epoch"`
 	Owner     string           `json:"owner"`
 	Parent    string           `json:"parent,omitempty"`
 	State     State            `json:"state"`
 	Turns     int              `json:"turns"`
-	Calls     int              `json:"calls"` // started ones, kept or not
+	Calls     int              `json:"calls"` // started calls, persisted or not
 	Spent     int64            `json:"spent"`
-	Drawn     int64            `json:"drawn"` // budget reserved in blocks, spent or not
+	Drawn     int64            `json:"drawn"` // budget drawn in blocks, spent or not
 	Digest    string           `json:"digest"`
-	Pending   []string         `json:"pending,omitempty"`   // unrepeatable requests that may be running
-	Endpoint  string           `json:"endpoint,omitempty"`  // of the last turn
-	Endpoints []string         `json:"endpoints,omitempty"` // that may hold its cache
+	Pending   []string         `json:"pending,omitempty"`   // unrepeatable requests that may still be running
+	Endpoint  string           `json:"endpoint,omitempty"`  // endpoint of the last turn
+	Endpoints []string         `json:"endpoints,omitempty"` // endpoints that may hold the program's cache
 	Idle      bvclock.Duration `json:"idle,omitempty"`
 }
 
@@ -52,13 +52,13 @@
 	return head
 }
 
-// AnyEndpoint stands in a program's list of endpoints for all that could have
-// run it: a former owner has died and may have sent a call to any of them.
+// AnyEndpoint stands in a program's list of endpoints for every endpoint that could
+// have run it: a former owner has failed and may have sent a call to any of them.
 const AnyEndpoint = "*"
 
-// spentAtClaim is what counts as spent for a new owner. An owner that has
-// handed the program over has settled its block; of another one nobody knows
-// how much of the block it has used.
+// spentAtClaim returns how much counts as spent for a new owner. A former owner that
+// handed the program over has settled its block; otherwise it is unknown how much of
+// the block was spent, and all of it counts.
 func (head head) spentAtClaim() int64 {
 	if head.Owner == "" {
 		return head.Spent
@@ -70,11 +70,11 @@
 	if endpoint == "" {
 		return false
 	}
-	place, found := slices.BinarySearch(head.Endpoints, endpoint)
+	index, found := slices.BinarySearch(head.Endpoints, endpoint)
 	if found {
 		return false
 	}
-	head.Endpoints = slices.Insert(head.Endpoints, place, endpoint)
+	head.Endpoints = slices.Insert(head.Endpoints, index, endpoint)
 	return true
 }
 
@@ -85,13 +85,13 @@
 }
 
 func (head *head) removeEndpoint(endpoint string) {
-	place, found := slices.BinarySearch(head.Endpoints, endpoint)
+	index, found := slices.BinarySearch(head.Endpoints, endpoint)
 	if found {
-		head.Endpoints = slices.Delete(head.Endpoints, place, place+1)
+		head.Endpoints = slices.Delete(head.Endpoints, index, index+1)
 	}
 }
 
-// turnRow is a kept turn.
+// turnRow is the row of a persisted turn.
 type turnRow struct {
 	Request  string `json:"request"`
 	Digest   string `json:"digest"`
@@ -109,17 +109,17 @@
 	onceUnknown                   // may have run
 )
 
-// onceRow is the record of an unrepeatable request.
+// onceRow is the once record of an unrepeatable request.
 type onceRow struct {
-	State    onceState `json:"state"`
-	Digest   string    `json:"digest"`
-	Owner    string    `json:"owner"`
-	Epoch    int64     `json:"epoch"`
-	Turn     int       `json:"turn"`
-	Unkept   bool      `json:"unkept,omitempty"` // answered, but its turn could not be added to the history
-	Messages []byte    `json:"messages,omitempty"`
-	Message  []byte    `json:"message,omitempty"`
-	Answer   []byte    `json:"answer,omitempty"`
+	State        onceState `json:"state"`
+	Digest       string    `json:"digest"`
+	Owner        string    `json:"owner"`
+	Epoch        int64     `json:"epoch"`
+	Turn         int       `json:"turn"`
+	NotInHistory bool      `json:"unkept,omitempty"` // answered, but the owner had lost the program and could not add the turn to the history
+	Messages     []byte    `json:"messages,omitempty"`
+	Message      []byte    `json:"message,omitempty"`
+	Answer       []byte    `json:"answer,omitempty"`
 }
 
 func encode(row any) []byte {
--- a/bvledger/history.go
+++ b/bvledger/history.go
@@ -8,78 +8,79 @@
 	"reflect"
 )
 
-// history is the concatenation of the messages of a program's turns, as the
-// inside of a JSON array.
+// history is the concatenation of the messages of a program's turns, as the elements
+// of a JSON array without its brackets.
 type history struct {
-	inside []byte
+	items  []byte
 	digest string
 }
 
 // add appends the messages of one turn.
 func (history *history) add(messages, message []byte) {
-	history.join(messages)
-	history.join(message)
-	history.digest = chain(history.digest, messages, message)
+	history.appendItems(messages)
+	history.appendItems(message)
+	history.digest = chainDigest(history.digest, messages, message)
 }
 
-func (history *history) join(array []byte) {
-	elements := inside(array)
+func (history *history) appendItems(array []byte) {
+	elements := items(array)
 	if len(elements) == 0 {
 		return
 	}
-	if len(history.inside) > 0 {
-		history.inside = append(history.inside, ',')
+	if len(history.items) > 0 {
+		history.items = append(history.items, ',')
 	}
-	history.inside = append(history.inside, elements...)
+	history.items = append(history.items, elements...)
 }
 
-// array returns the whole history as a JSON array of its own.
+// array returns the whole history as a new JSON array.
 func (history *history) array() []byte {
-	array := make([]byte, 0, len(history.inside)+2)
+	array := make([]byte, 0, len(history.items)+2)
 	array = append(array, '[')
-	array = append(array, history.inside...)
+	array = append(array, history.items...)
 	return append(array, ']')
 }
 
-// after returns what messages add to the history that they begin with; false
-// if they begin with another one.
-func (history *history) after(messages []byte) ([]byte, bool) {
-	kept, err := split(history.array())
+// newMessages returns the messages after the history; false if the given messages don't
+// start with the history.
+func (history *history) newMessages(messages []byte) ([]byte, bool) {
+	stored, err := splitArray(history.array())
 	if err != nil {
 		return nil, false
 	}
-	given, err := split(messages)
-	if err != nil || len(given) < len(kept) {
+	given, err := splitArray(messages)
+	if err != nil || len(given) < len(stored) {
 		return nil, false
 	}
-	for i := range kept {
-		if !sameMessage(kept[i], given[i]) {
+	for i := range stored {
+		if !isSameMessage(stored[i], given[i]) {
 			return nil, false
 		}
 	}
-	return encode(given[len(kept):]), true
+	return encode(given[len(stored):]), true
 }
 
-func split(array []byte) ([]json.RawMessage, error) {
+func splitArray(array []byte) ([]json.RawMessage, error) {
 	var elements []json.RawMessage
 	err := json.Unmarshal(array, &elements)
 	return elements, err
 }
 
-// sameMessage ignores white space, the order of fields and null fields: client
-// libraries parse an answer's message and write it out again in their own way.
-func sameMessage(kept, given json.RawMessage) bool {
-	if bytes.Equal(kept, given) {
+// isSameMessage compares two messages and ignores white space, the order of fields and
+// null fields: client libraries parse an answer's message and encode it again
+// differently.
+func isSameMessage(stored, given json.RawMessage) bool {
+	if bytes.Equal(stored, given) {
 		return true
 	}
 	var a, b any
-	if json.Unmarshal(kept, &a) != nil || json.Unmarshal(given, &b) != nil {
+	if json.Unmarshal(stored, &a) != nil || json.Unmarshal(given, &b) != nil {
 		return false
 	}
-	return reflect.DeepEqual(withoutNull(a), withoutNull(b))
+	return reflect.DeepEqual(dropNulls(a), dropNulls(b))
 }
 
-func withoutNull(value any) any {
+func dropNulls(value any) any {
 	fields, ok := value.(map[string]any)
 	if !ok {
 		return value
@@ -92,17 +93,17 @@
 	return fields
 }
 
-func inside(array []byte) []byte {
+func items(array []byte) []byte {
 	array = bytes.TrimSpace(array)
 	array = bytes.TrimPrefix(array, []byte("["))
 	array = bytes.TrimSuffix(array, []byte("]"))
 	return bytes.TrimSpace(array)
 }
 
-// chain extends the digest of a history by one turn. It is kept in the head
-// row and compared on load, so that a turn row that is missing or belongs to
-// another history is noticed and never sent to an engine.
-func chain(digest string, messages, message []byte) string {
+// chainDigest extends the digest of a history by one turn. The digest is stored in the
+// head row and compared on load, so that a turn row that is missing or belongs to
+// another history is detected and never sent to an engine.
+func chainDigest(digest string, messages, message []byte) string {
 	hash := sha256.New()
 	hash.Write([]byte(digest))
 	hash.Write([]byte{'\n'})
--- a/bvledger/key.go
+++ b/bvledger/key.go
@@ -15,41 +15,41 @@
 	OnceTable    = "once/"
 )
 
-// HeadKey is the key of the program's head row.
+// HeadKey returns the key of the program's head row.
 func HeadKey(key ProgramKey) string {
-	return HeadTable + path(key)
+	return HeadTable + keyPath(key)
 }
 
-// AccountKey is the key of the row that counts what the program and its
+// AccountKey returns the key of the row that records how much the program and its
 // sub-agents have drawn from its budget.
 func AccountKey(key ProgramKey) string {
-	return AccountTable + path(key)
+	return AccountTable + keyPath(key)
 }
 
-// TurnPrefix is what the keys of all the program's turn rows begin with.
+// TurnPrefix returns the common prefix of the keys of all the program's turn rows.
 func TurnPrefix(key ProgramKey) string {
-	return TurnTable + path(key) + "/"
+	return TurnTable + keyPath(key) + "/"
 }
 
-// TurnKey is the key of one turn row. Keys sort in the order of the turns.
+// TurnKey returns the key of one turn row. Keys sort in the order of the turns.
 func TurnKey(key ProgramKey, turn int) string {
 	return fmt.Sprintf("%s%08d", TurnPrefix(key), turn)
 }
 
-// OnceKey is the key of the record of an unrepeatable request.
+// OnceKey returns the key of the once record of an unrepeatable request.
 func OnceKey(key ProgramKey, request string) string {
-	return OnceTable + path(key) + "/" + url.PathEscape(request)
+	return OnceTable + keyPath(key) + "/" + url.PathEscape(request)
 }
 
-// path escapes the separator in both names. Without that, program "b/c" of
-// member "a" and program "c" of member "a/b" would share their rows, and one
-// member would read the other's history. Escaping can be undone, so two
-// different names never become one.
-func path(key ProgramKey) string {
+// keyPath joins the names of the member and the program and escapes the separator in
+// them. Without the escape, program "b/c" of member "a" and program "c" of member "a/b"
+// would share their rows, and one member would read the other's history. The escape is
+// reversible, so different names never map to the same key.
+func keyPath(key ProgramKey) string {
 	return url.PathEscape(key.Member) + "/" + url.PathEscape(key.Program)
 }
 
-func unescape(member, program string) (ProgramKey, bool) {
+func unescapeKey(member, program string) (ProgramKey, bool) {
 	memberName, err := url.PathUnescape(member)
 	if err != nil {
 		return ProgramKey{}, false
--- a/bvledger/leave.go
+++ b/bvledger/leave.go
@@ -7,11 +7,11 @@
 	"balsamvalve.example/bvplatform"
 )
 
-// Leave has this host give up its programs, each as soon as nothing of it is
-// under way. The next owner then neither counts an unsettled block as spent
-// nor has to release the program's cache everywhere, as after a crash. Wait
-// until Programs is 0, within a bound: what is left is taken over like the
-// programs of a host that died.
+// Leave starts to hand over this host's programs, each as soon as none of its calls and
+// writes is in progress. Unlike after a crash, the next owner then neither counts an
+// unsettled block as spent nor has to release the program's cache at every endpoint.
+// Wait until Programs returns 0, for a bounded time: remaining programs are taken over
+// like those of a crashed host.
 func (ledger *Ledger) Leave(now bvclock.Time) {
 	ledger.leaving = true
 	keys := make([]ProgramKey, 0, len(ledger.programs))
@@ -26,32 +26,32 @@
 
 func (ledger *Ledger) leaveProgram(now bvclock.Time, program *program) {
 	owned := program.phase == phaseOwned || program.phase == phaseCold
-	if !ledger.leaving || !owned || !program.idle() || program.dirty || program.head.State.IsEnded() {
+	if !ledger.leaving || !owned || !program.isIdle() || program.dirty || program.head.State.IsEnded() {
 		return
 	}
 	program.handover = true
-	ledger.write(now, program)
+	ledger.writeEntry(now, program)
 }
 
-// handOver writes a head row without an owner.
-func (ledger *Ledger) handOver(now bvclock.Time, entry *entry) {
+// issueHandover issues an entry that removes the owner from the head row.
+func (ledger *Ledger) issueHandover(now bvclock.Time, entry *entry) {
 	program := entry.program
 	entry.handover = true
 	entry.head.Owner = ""
-	ledger.issue(now, entry, Entry{
+	ledger.issueEntry(now, entry, Entry{
 		Checks: []bvplatform.Check{{Key: HeadKey(program.key), Version: program.headVersion}},
 		Puts:   []bvplatform.Put{{Key: HeadKey(program.key), Value: encode(entry.head)}},
 	})
 }
 
-// handedOver takes in that the program has no owner now. A call that came in
-// the meantime has it claimed anew.
-func (ledger *Ledger) handedOver(program *program) {
+// completeHandover updates the program's state after the handover has become durable.
+// If a call has arrived in the meantime, the program is loaded and claimed again.
+func (ledger *Ledger) completeHandover(program *program) {
 	program.handover = false
 	program.phase = phaseLoading
 	if len(program.queue) == 0 {
-		ledger.close(program)
+		ledger.closeProgram(program)
 		return
 	}
-	ledger.load(program, "")
+	ledger.loadProgram(program, "")
 }
--- a/bvledger/lose.go
+++ b/bvledger/lose.go
@@ -9,38 +9,38 @@
 	"balsamvalve.example/bvverdict"
 )
 
-// lose drops a program that another host owns now, or whose entry could not
-// be written at all. What never started is refused as not run; what started
-// may have run; what finished ran.
-func (ledger *Ledger) lose(now bvclock.Time, program *program, cause error) {
+// dropProgram drops a program that another host owns now, or whose entry could not be
+// written at all. Calls that never started are refused as not run, started ones as may
+// have run, and finished ones as ran.
+func (ledger *Ledger) dropProgram(now bvclock.Time, program *program, cause error) {
 	ledger.requeue(program)
-	moved := ledger.moved(cause)
+	dropErr := ledger.dropError(cause)
 	for _, call := range program.queue {
-		if call.inserted {
-			ledger.finishStray(now, program.stray(call), Result{Err: moved})
+		if call.recordInserted {
+			ledger.recordDetached(now, program.detachedCall(call), Result{Err: dropErr})
 			continue
 		}
-		ledger.refuse(call, bvverdict.Refuse(moved.Code(), "%s", moved.Reason()).
-			WithRetryAfter(moved.RetryAfter()).WithCause(cause))
+		ledger.refuseCall(call, bvverdict.Refuse(dropErr.Code(), "%s", dropErr.Reason()).
+			WithRetryAfter(dropErr.RetryAfter()).WithCause(cause))
 	}
 	program.queue = nil
 	if program.isRunning() {
-		ledger.loseRunning(program, cause)
+		ledger.dropRunning(program, cause)
 	}
-	for _, turn := range program.turns[program.durable:] {
-		ledger.loseTurn(now, program, turn, cause)
+	for _, turn := range program.turns[program.durableTurns:] {
+		ledger.dropTurn(now, program, turn, cause)
 	}
-	ledger.loseSettlements(now, program)
-	ledger.loseEndpoints(program)
+	ledger.writeSettlements(now, program)
+	ledger.releaseUnlisted(program)
 	if program.ending != nil {
 		for _, caller := range program.ending.callers {
-			ledger.refuse(caller, moved)
+			ledger.refuseCall(caller, dropErr)
 		}
 	}
-	ledger.close(program)
+	ledger.closeProgram(program)
 }
 
-func (ledger *Ledger) moved(cause error) *bvverdict.Error {
+func (ledger *Ledger) dropError(cause error) *bvverdict.Error {
 	var conflict *bvplatform.ConflictError
 	if errors.As(cause, &conflict) {
 		return bvverdict.Refuse(bvverdict.NotOwner, "another host serves the program now").
@@ -49,63 +49,64 @@
 	return ledger.unavailable("the program's state could not be written").WithCause(cause)
 }
 
-func (ledger *Ledger) loseRunning(program *program, cause error) {
+func (ledger *Ledger) dropRunning(program *program, cause error) {
 	call := program.running
 	program.running = nil
-	ledger.strays[call.ID] = program.stray(call)
+	ledger.detachedCalls[call.ID] = program.detachedCall(call)
 	if call.Unrepeatable {
 		return
 	}
 	ledger.emit(Abort{Call: call.ID})
-	ledger.refuse(call, bvverdict.New(bvverdict.MayHaveRun, bvverdict.NotOwner,
+	ledger.refuseCall(call, bvverdict.New(bvverdict.MayHaveRun, bvverdict.NotOwner,
 		"another host serves the program now").WithRetryAfter(ledger.settings.RetryAfter).WithCause(cause))
 }
 
-// loseTurn gives up a finished turn. The answer of an unrepeatable one still
-// goes into its record.
-func (ledger *Ledger) loseTurn(now bvclock.Time, program *program, turn *turn, cause error) {
-	if !turn.once {
+// dropTurn refuses the calls that wait for a finished turn. The answer of an
+// unrepeatable turn is still written to its once record.
+func (ledger *Ledger) dropTurn(now bvclock.Time, program *program, turn *turn, cause error) {
+	if !turn.unrepeatable {
 		ledger.refuseWaiters(turn, bvverdict.New(bvverdict.Ran, bvverdict.NotOwner,
-			"the call ran, but another host serves the program now and its answer is not kept").
+			"the call ran, but another host serves the program now and its answer is not persisted").
 			WithRetryAfter(ledger.settings.RetryAfter).WithCause(cause))
 		return
 	}
 	call := &call{Call: Call{Key: program.key, Request: turn.request, Messages: turn.messages}}
-	stray := program.stray(call)
+	detached := program.detachedCall(call)
 	if len(turn.waiters) > 0 {
-		stray.call = turn.waiters[0]
-		stray.call.joined = slices.Concat(stray.call.joined, turn.waiters[1:])
+		detached.call = turn.waiters[0]
+		detached.call.joined = slices.Concat(detached.call.joined, turn.waiters[1:])
 	}
-	ledger.finishStray(now, stray, Result{Answer: turn.answer, Message: turn.message})
+	ledger.recordDetached(now, detached, Result{Answer: turn.answer, Message: turn.message})
 }
 
-// loseSettlements writes what became of records that this host inserted; the
-// answered ones went with their turns.
-func (ledger *Ledger) loseSettlements(now bvclock.Time, program *program) {
+// writeSettlements writes the outcomes of once records that this host inserted; dropTurn
+// handles the answered ones.
+func (ledger *Ledger) writeSettlements(now bvclock.Time, program *program) {
 	for _, settlement := range program.settlements {
 		if settlement.row.State == onceAnswered {
 			continue
 		}
-		ledger.issue(now, &entry{stray: &stray{call: &call{}}}, Entry{
-			Checks: []bvplatform.Check{{Key: settlement.key, Version: program.once[settlement.key].version}},
+		ledger.issueEntry(now, &entry{detachedCall: &detachedCall{call: &call{}}}, Entry{
+			Checks: []bvplatform.Check{{Key: settlement.key, Version: program.onceRecords[settlement.key].version}},
 			Puts:   []bvplatform.Put{{Key: settlement.key, Value: encode(settlement.row)}},
 		})
 	}
 }
 
-// loseEndpoints has the endpoints released that the new owner can't know of,
-// and those that ran a call since this host's last commit: the new owner may
-// have ended the program and released them before that call ran.
-func (ledger *Ledger) loseEndpoints(program *program) {
-	lost := slices.Clone(program.used)
+// releaseUnlisted releases the endpoints that the durable head row doesn't list, so that
+// the new owner can't know them, and those that ran a call since this host's last
+// commit: the new owner may have ended the program and released them before that call
+// ran.
+func (ledger *Ledger) releaseUnlisted(program *program) {
+	endpoints := slices.Clone(program.usedEndpoints)
 	for _, endpoint := range program.head.Endpoints {
-		if !slices.Contains(program.placed, endpoint) {
-			lost = append(lost, endpoint)
+		if !slices.Contains(program.durableEndpoints, endpoint) {
+			endpoints = append(endpoints, endpoint)
 		}
 	}
-	slices.Sort(lost)
-	lost = slices.Compact(lost)
-	if len(lost) > 0 {
-		ledger.emit(Release{Key: program.key, Endpoints: lost})
+	slices.Sort(endpoints)
+	endpoints = slices.Compact(endpoints)
+	if len(endpoints) > 0 {
+		ledger.emit(Release{Key: program.key, Endpoints: endpoints})
 	}
 }
--- a/bvledger/once.go
+++ b/bvledger/once.go
@@ -6,40 +6,40 @@
 	"balsamvalve.example/bvverdict"
 )
 
-// judgeOnce looks for a record of an unrepeatable request.
+// decideOnce decides about an unrepeatable call by its once record.
 //
-// It guards against a booking that is made twice: a caller that heard nothing
-// repeats its request, the repeat reaches another host, and both hosts send.
-// The record is inserted before the send on the condition that there is none,
-// so only one host ever sends; everybody else answers from the record.
-func (ledger *Ledger) judgeOnce(now bvclock.Time, program *program, call *call) (judgement, *bvverdict.Error) {
-	if call.inserted {
+// It guards against a booking that is made twice: a caller without an answer repeats its
+// request, the repeat reaches another host, and both hosts send it. The record is
+// inserted before the send on the condition that there is none, so only one host ever
+// sends the request; all others answer from the record.
+func (ledger *Ledger) decideOnce(now bvclock.Time, program *program, call *call) (decision, *bvverdict.Error) {
+	if call.recordInserted {
 		if now.After(call.windowEnd) {
-			return answered, ledger.unavailable("the request's record took too long to write")
+			return completed, ledger.unavailable("the request's record took too long to write")
 		}
 		return mayRun, nil
 	}
-	record, found := program.once[OnceKey(program.key, call.Request)]
+	record, found := program.onceRecords[OnceKey(program.key, call.Request)]
 	if found && record.row.Digest != call.Digest {
-		return answered, reusedRequest()
+		return completed, reusedRequest()
 	}
-	if found && record.row.State == onceInserted && !call.looked {
-		call.looked = true // the host that sends it may have written the answer meanwhile
-		ledger.read(program, false, OnceKey(program.key, call.Request))
+	if found && record.row.State == onceInserted && !call.recordRead {
+		call.recordRead = true // the host that sent it may have recorded the answer in the meantime
+		ledger.requestRows(program, false, OnceKey(program.key, call.Request))
 		return mustWait, nil
 	}
 	if found && program.adopt(call.Request, record.row) {
-		return adopted, nil
+		return turnAdopted, nil
 	}
 	if found && record.row.State != onceNotRun {
 		program.running = nil
 		ledger.answerFromRecord(call, record)
-		return answered, nil
+		return completed, nil
 	}
-	// Without the platform there can be no record, so the request must not
-	// be sent; waiting would only hold up the program's other calls.
-	if ledger.suspected(now) {
-		return answered, ledger.unavailable("unrepeatable requests need the platform, which doesn't answer")
+	// Without the platform no record can be inserted, so the request must not be sent;
+	// waiting would only delay the program's other calls.
+	if ledger.isPlatformSuspected(now) {
+		return completed, ledger.unavailable("unrepeatable requests need the platform, which does not answer")
 	}
 	return mayRun, nil
 }
@@ -47,10 +47,10 @@
 func (ledger *Ledger) answerFromRecord(call *call, record onceRecord) {
 	if record.row.State == onceAnswered && !record.settled {
 		for _, joined := range call.joined {
-			ledger.answer(joined, record.row.Answer, 0, true)
+			ledger.answerCall(joined, record.row.Answer, 0, true)
 		}
 		call.joined = nil
-		ledger.answer(call, record.row.Answer, 0, true)
+		ledger.answerCall(call, record.row.Answer, 0, true)
 		return
 	}
 	err := bvverdict.New(bvverdict.MayHaveRun, bvverdict.AlreadySent,
@@ -58,68 +58,68 @@
 	if record.row.State != onceUnknown {
 		err = err.WithRetryAfter(ledger.settings.RetryAfter)
 	}
-	ledger.refuse(call, err)
+	ledger.refuseCall(call, err)
 }
 
-// lookForPending reads the record of an unrepeatable call that a former owner
-// had started, before the program goes on.
+// adoptPending reads the once records of unrepeatable calls that a former owner started,
+// before the program continues, and adds their answers to the history.
 //
-// It guards against a program that is stuck, or loses a turn of its history:
-// the caller has its answer from the former owner, whose commit of the turn
-// failed, and goes on with the next turn here.
-func (ledger *Ledger) lookForPending(program *program) {
+// It guards against a program that is stuck, or loses a turn of its history: the caller
+// has received the answer from the former owner, whose commit of the turn failed, and
+// continues with the next turn on this host.
+func (ledger *Ledger) adoptPending(program *program) {
 	foreign := len(program.head.Pending) > 0 && program.running == nil && program.entry == nil &&
 		len(program.settlements) == 0
-	if !foreign || program.reloading || len(program.queue) == 0 {
+	if !foreign || program.awaitingRows || len(program.queue) == 0 {
 		return
 	}
 	var keys []string
 	for _, request := range program.head.Pending {
 		keys = append(keys, OnceKey(program.key, request))
 	}
-	if !program.looked {
-		program.looked = true
-		ledger.read(program, false, keys...)
+	if !program.pendingRead {
+		program.pendingRead = true
+		ledger.requestRows(program, false, keys...)
 		return
 	}
 	for i, request := range program.head.Pending {
-		program.adopt(request, program.once[keys[i]].row)
+		program.adopt(request, program.onceRecords[keys[i]].row)
 	}
 }
 
-// adopt adds a turn whose answer a former owner could only write into the
-// record. It belongs after the turns that were kept when the record was
-// inserted, and nowhere else. A record whose turn was kept adds nothing: a
-// host that doesn't know that turn is outdated, and the record lacks the
-// turn's messages.
+// adopt adds a turn whose answer a former owner could write only into the once record.
+// Its place in the history is directly after the turns that were durable when the record
+// was inserted. A record whose turn is in the stored history adds nothing: a host that
+// doesn't have that turn is outdated, and the record lacks the turn's messages.
 func (program *program) adopt(request string, row onceRow) bool {
-	if row.State != onceAnswered || !row.Unkept || row.Turn != program.nextTurn() || program.head.State.IsEnded() {
+	if row.State != onceAnswered || !row.NotInHistory || row.Turn != program.nextTurn() || program.head.State.IsEnded() {
 		return false
 	}
-	if _, kept := program.requests[request]; kept {
+	if _, found := program.requests[request]; found {
 		return false
 	}
 	program.addTurn(&turn{
 		request: request, digest: row.Digest, messages: row.Messages,
-		message: row.Message, answer: row.Answer, held: true,
+		message: row.Message, answer: row.Answer, hasAnswer: true,
 	})
 	program.history.add(row.Messages, row.Message)
 	program.head.Digest = program.history.digest
-	program.reclaimed = program.phase != phaseOwned
+	program.claimRequested = program.phase != phaseOwned
 	return true
 }
 
-// maxPending bounds the list of unrepeatable calls of dead owners. One that
-// falls off the list is still found by a repeat of its request.
+// maxPending bounds the list of unrepeatable calls of failed owners. The record of a
+// call that was removed from the list is still found by a repeat of its request.
 const maxPending = 16
 
-// pending is what the head row says of unrepeatable calls under way.
+// pending returns the unrepeatable calls in progress for the head row, with the inserted
+// one, if any, at the end.
 func (program *program) pending(inserted string) []string {
 	var pending []string
 	for _, request := range program.head.Pending {
-		_, kept := program.requests[request]
-		record, found := program.once[OnceKey(program.key, request)]
-		if !kept && !(found && program.past(record.row)) && request != inserted {
+		_, finished := program.requests[request]
+		record, found := program.onceRecords[OnceKey(program.key, request)]
+		if !finished && !(found && program.isObsolete(record.row)) && request != inserted {
 			pending = append(pending, request)
 		}
 	}
@@ -129,78 +129,78 @@
 	return pending[max(len(pending)-maxPending, 0):]
 }
 
-// past reports whether a record can add nothing to the history any more. An
-// answered one can until its turn is taken, even if it could not be adopted
-// when it was read because another call ran.
-func (program *program) past(row onceRow) bool {
+// isObsolete reports whether a record can no longer add a turn to the history. An
+// answered record can do so until its turn number is used, even if it could not be
+// adopted when it was read because another call was running.
+func (program *program) isObsolete(row onceRow) bool {
 	if row.State == onceAnswered {
-		return !row.Unkept || row.Turn <= len(program.turns)
+		return !row.NotInHistory || row.Turn <= len(program.turns)
 	}
 	return row.State != onceInserted
 }
 
-// settle notes the outcome of a record that this host inserted. It is written
+// settle sets the outcome of a record that this host inserted. The outcome is written
 // with the program's next entry.
 func (program *program) settle(call *call, row onceRow) {
 	key := OnceKey(program.key, call.Request)
 	row.Digest = call.Digest
 	row.Owner = program.head.Owner
 	row.Epoch = program.head.Epoch
-	record := program.once[key]
+	record := program.onceRecords[key]
 	record.row = row
 	record.settled = true
-	program.once[key] = record
+	program.onceRecords[key] = record
 	program.settlements = append(program.settlements, settlement{key: key, row: row})
 }
 
-// takeSettlement removes the settlement of a record that is to be inserted
-// anew: one entry can't write a row twice.
-func (program *program) takeSettlement(key string) {
-	kept := program.settlements[:0]
+// removeSettlement removes the settlement of a record that is inserted again by the same
+// entry: an entry can't write a row twice.
+func (program *program) removeSettlement(key string) {
+	remaining := program.settlements[:0]
 	for _, settlement := range program.settlements {
 		if settlement.key != key {
-			kept = append(kept, settlement)
+			remaining = append(remaining, settlement)
 		}
 	}
-	program.settlements = kept
+	program.settlements = remaining
 }
 
-// stray is a call of a program that moved to another host while the call ran
-// here. An unrepeatable one isn't stopped, since stopping leaves open whether
-// it took effect; its answer goes into the record, where every repeat finds
-// it. Of the others only the endpoint matters, which is to be released.
-type stray struct {
+// detachedCall is a call that outlives this host's state of its program, which has moved
+// to another host or ended. An unrepeatable call isn't stopped, since it would then be
+// unknown whether it took effect; its answer is written to the once record, where every
+// repeat finds it. For the others only the endpoint matters, which must be released.
+type detachedCall struct {
 	call    *call
 	key     string
 	version int64
 	row     onceRow // as inserted
 }
 
-func (program *program) stray(call *call) *stray {
+func (program *program) detachedCall(call *call) *detachedCall {
 	key := OnceKey(program.key, call.Request)
-	record := program.once[key]
+	record := program.onceRecords[key]
 	record.row.Messages = call.Messages
-	return &stray{call: call, key: key, version: record.version, row: record.row}
+	return &detachedCall{call: call, key: key, version: record.version, row: record.row}
 }
 
-func (ledger *Ledger) strayFinished(now bvclock.Time, stray *stray, result Result) {
-	delete(ledger.strays, stray.call.ID)
+func (ledger *Ledger) finishDetached(now bvclock.Time, detached *detachedCall, result Result) {
+	delete(ledger.detachedCalls, detached.call.ID)
 	if result.Endpoint != "" {
-		ledger.emit(Release{Key: stray.call.Key, Endpoints: []string{result.Endpoint}})
+		ledger.emit(Release{Key: detached.call.Key, Endpoints: []string{result.Endpoint}})
 	}
-	if stray.call.Unrepeatable {
-		ledger.finishStray(now, stray, result)
+	if detached.call.Unrepeatable {
+		ledger.recordDetached(now, detached, result)
 	}
 }
 
-func (ledger *Ledger) finishStray(now bvclock.Time, stray *stray, result Result) {
-	row := stray.row
+func (ledger *Ledger) recordDetached(now bvclock.Time, detached *detachedCall, result Result) {
+	row := detached.row
 	row.State = onceAnswered
-	row.Unkept = true
+	row.NotInHistory = true
 	row.Message = result.Message
 	row.Answer = result.Answer
 	if result.Err != nil {
-		row.Unkept = false
+		row.NotInHistory = false
 		row.Messages = nil
 		row.Message = nil
 		row.Answer = nil
@@ -208,29 +208,29 @@
 		if result.Err.Verdict() == bvverdict.NotRun {
 			row.State = onceNotRun
 		}
-		ledger.refuse(stray.call, result.Err)
+		ledger.refuseCall(detached.call, result.Err)
 	}
-	entry := &entry{stray: stray, answer: row.Answer}
-	ledger.issue(now, entry, Entry{
-		Checks: []bvplatform.Check{{Key: stray.key, Version: stray.version}},
-		Puts:   []bvplatform.Put{{Key: stray.key, Value: encode(row)}},
+	entry := &entry{detachedCall: detached, answer: row.Answer}
+	ledger.issueEntry(now, entry, Entry{
+		Checks: []bvplatform.Check{{Key: detached.key, Version: detached.version}},
+		Puts:   []bvplatform.Put{{Key: detached.key, Value: encode(row)}},
 	})
 }
 
-func (ledger *Ledger) strayCommitted(entry *entry, err error) {
-	call := entry.stray.call
+func (ledger *Ledger) completeDetached(entry *entry, err error) {
+	call := entry.detachedCall.call
 	if ledger.calls[call.ID] == nil {
 		return
 	}
 	if err != nil {
-		ledger.refuse(call, bvverdict.New(bvverdict.Ran, bvverdict.Conflict,
-			"the call ran but its answer could not be kept").WithCause(err))
+		ledger.refuseCall(call, bvverdict.New(bvverdict.Ran, bvverdict.Conflict,
+			"the call ran but its answer could not be persisted").WithCause(err))
 		return
 	}
 	joined := call.joined
 	call.joined = nil
-	ledger.answer(call, entry.answer, 0, false)
+	ledger.answerCall(call, entry.answer, 0, false)
 	for _, repeat := range joined {
-		ledger.answer(repeat, entry.answer, 0, true)
+		ledger.answerCall(repeat, entry.answer, 0, true)
 	}
 }
--- a/bvledger/order.go
+++ b/bvledger/order.go
@@ -7,12 +7,12 @@
 	"balsamvalve.example/bvverdict"
 )
 
-// serveRepeats answers or joins the queued calls that run nothing new, so
-// that those left in the queue are calls that have never started.
+// serveRepeats answers queued calls that repeat a turn or a call, or joins them to it, so
+// that all calls left in the queue are new ones that have never started.
 //
-// It guards against a caller's repeat that runs twice: the first submission
-// may be waiting, running, finished without its commit, or kept, and each
-// case has its own way to the one answer.
+// It guards against a repeat that runs a second time: the first submission may be
+// queued, running, finished without its commit, or committed, and in each case the
+// repeat receives that submission's answer.
 func (ledger *Ledger) serveRepeats(now bvclock.Time, program *program) {
 	queue := program.queue
 	program.queue = nil
@@ -26,17 +26,17 @@
 func (ledger *Ledger) serveRepeat(now bvclock.Time, program *program, call *call) bool {
 	switch call.kind {
 	case kindEnd:
-		ledger.askEnd(program, call)
+		ledger.requestEnd(program, call)
 		return true
 	case kindFetch:
 		return ledger.serveFetch(now, program, call)
 	}
-	if number, found := program.kept(call); found {
-		ledger.serveKept(now, program, call, number)
+	if number, found := program.repeatedTurn(call); found {
+		ledger.serveRepeatedTurn(now, program, call, number)
 		return true
 	}
-	if first := program.first(call); first != nil {
-		ledger.join(first, call)
+	if original := program.findOriginal(call); original != nil {
+		ledger.join(original, call)
 		return true
 	}
 	if call.Turn > 0 && call.Turn < program.nextTurn() {
@@ -53,30 +53,30 @@
 
 func (ledger *Ledger) serveFetch(now bvclock.Time, program *program, call *call) bool {
 	if number, found := program.requests[call.Request]; found {
-		ledger.wait(now, program, call, number)
+		ledger.awaitTurn(now, program, call, number)
 		return true
 	}
-	if first := program.first(call); first != nil {
+	if original := program.findOriginal(call); original != nil {
 		call.state = callJoined
-		first.joined = append(first.joined, call)
+		original.joined = append(original.joined, call)
 		return true
 	}
-	if program.mayBeStale() && !call.doubted {
+	if program.mayBeStale() && !call.ownerChecked {
 		return false
 	}
-	ledger.refuse(call, bvverdict.New(bvverdict.MayHaveRun, bvverdict.UnknownRequest,
-		"no answer is kept for the request"))
+	ledger.refuseCall(call, bvverdict.New(bvverdict.MayHaveRun, bvverdict.UnknownRequest,
+		"no answer is stored for the request"))
 	return true
 }
 
-// mayBeStale reports whether another host may own the program by now without
-// this one having noticed, and whether that can be looked up at once.
+// mayBeStale reports whether another host may have taken over the program unnoticed, and
+// the head row can be read now to find out.
 func (program *program) mayBeStale() bool {
 	return program.phase == phaseOwned && program.running == nil && program.entry == nil
 }
 
-// kept returns the turn that the call repeats.
-func (program *program) kept(call *call) (int, bool) {
+// repeatedTurn returns the number of the turn that the call repeats.
+func (program *program) repeatedTurn(call *call) (int, bool) {
 	if call.Request != "" {
 		if number, found := program.requests[call.Request]; found {
 			return number, true
@@ -88,20 +88,20 @@
 	return 0, false
 }
 
-// first returns the call under way that the given one repeats.
-func (program *program) first(call *call) *call {
-	if program.running != nil && program.running.sameAs(call) {
+// findOriginal returns the running or queued call that the given one repeats.
+func (program *program) findOriginal(call *call) *call {
+	if program.running != nil && program.running.isRepeatedBy(call) {
 		return program.running
 	}
 	for _, queued := range program.queue {
-		if queued.sameAs(call) {
+		if queued.isRepeatedBy(call) {
 			return queued
 		}
 	}
 	return nil
 }
 
-func (call *call) sameAs(other *call) bool {
+func (call *call) isRepeatedBy(other *call) bool {
 	if call.kind != kindCall {
 		return false
 	}
@@ -111,85 +111,86 @@
 	return other.kind == kindCall && call.Turn > 0 && call.Turn == other.Turn && call.Digest == other.Digest
 }
 
-func (ledger *Ledger) serveKept(now bvclock.Time, program *program, call *call, number int) {
+func (ledger *Ledger) serveRepeatedTurn(now bvclock.Time, program *program, call *call, number int) {
 	if program.turns[number-1].digest != call.Digest {
-		ledger.refuse(call, reusedRequest())
+		ledger.refuseCall(call, reusedRequest())
 		return
 	}
-	ledger.wait(now, program, call, number)
+	ledger.awaitTurn(now, program, call, number)
 }
 
 func reusedRequest() *bvverdict.Error {
 	return bvverdict.Refuse(bvverdict.Conflict, "the request id belongs to another body; this one was not run")
 }
 
-// wait gives the answer of a finished turn as soon as it is kept and read.
-func (ledger *Ledger) wait(now bvclock.Time, program *program, call *call, number int) {
+// awaitTurn answers the call with a finished turn as soon as the turn is durable and its
+// answer is in memory.
+func (ledger *Ledger) awaitTurn(now bvclock.Time, program *program, call *call, number int) {
 	turn := program.turns[number-1]
-	if number <= program.durable && turn.held {
-		ledger.answer(call, turn.answer, number, true)
+	if number <= program.durableTurns && turn.hasAnswer {
+		ledger.answerCall(call, turn.answer, number, true)
 		return
 	}
-	call.state = callUnkept
-	call.keepUntil = now.Add(ledger.settings.CommitTimeout)
+	call.state = callCommitting
+	call.commitUntil = now.Add(ledger.settings.CommitTimeout)
 	call.repeated = true
 	turn.waiters = append(turn.waiters, call)
-	if number <= program.durable && !slices.Contains(program.fetching, number) {
+	if number <= program.durableTurns && !slices.Contains(program.fetching, number) {
 		program.fetching = append(program.fetching, number)
 	}
 }
 
-// serveFetched gives the answers of older turns, or has them read.
+// serveFetched answers calls that wait for older turns, or requests the turns' rows.
 func (ledger *Ledger) serveFetched(program *program) {
 	var missing []string
 	fetching := program.fetching
 	program.fetching = nil
 	for _, number := range fetching {
 		turn := program.turns[number-1]
-		if !turn.held {
+		if !turn.hasAnswer {
 			program.fetching = append(program.fetching, number)
 			missing = append(missing, TurnKey(program.key, number))
 			continue
 		}
-		turn.held = number == program.durable
+		turn.hasAnswer = number == program.durableTurns
 		ledger.answerWaiters(turn, number)
 	}
-	if len(missing) > 0 && !program.reloading {
-		ledger.read(program, false, missing...)
+	if len(missing) > 0 && !program.awaitingRows {
+		ledger.requestRows(program, false, missing...)
 	}
 }
 
 func (ledger *Ledger) answerWaiters(turn *turn, number int) {
 	for _, waiter := range turn.waiters {
-		ledger.answer(waiter, turn.answer, number, waiter.repeated)
+		ledger.answerCall(waiter, turn.answer, number, waiter.repeated)
 	}
 	turn.waiters = nil
-	if !turn.held {
+	if !turn.hasAnswer {
 		turn.answer = nil
 	}
 }
 
-func (ledger *Ledger) join(first, call *call) {
-	if first.Digest != call.Digest {
-		ledger.refuse(call, reusedRequest())
+func (ledger *Ledger) join(original, call *call) {
+	if original.Digest != call.Digest {
+		ledger.refuseCall(call, reusedRequest())
 		return
 	}
 	call.state = callJoined
-	first.joined = append(first.joined, call)
+	original.joined = append(original.joined, call)
 }
 
-// refuseUnstarted ends a call that was never started. A record that was
-// inserted for it is settled, so that a repeat may run.
+// refuseUnstarted refuses a call that was never started. A once record that was inserted
+// for it is settled, so that a repeat may run.
 func (ledger *Ledger) refuseUnstarted(program *program, call *call, err *bvverdict.Error) {
-	if call.inserted {
-		call.inserted = false
+	if call.recordInserted {
+		call.recordInserted = false
 		program.settle(call, onceRow{State: onceNotRun})
 	}
-	ledger.refuse(call, err)
+	ledger.refuseCall(call, err)
 }
 
-// requeue puts a call that was being prepared back in front, to be judged
-// again on what is known now.
+// requeue moves a call that is being prepared back to the front of the queue, so that it
+// is decided again with the current state.
 func (ledger *Ledger) requeue(program *program) {
 	call := program.running
 	if call == nil || call.state != callPreparing {
--- a/bvledger/program.go
+++ b/bvledger/program.go
@@ -6,68 +6,68 @@
 
 const (
 	phaseLoading phase = iota // its rows are being read
-	phaseLoaded               // its rows are known, another host may own it
+	phaseLoaded               // its rows were read, another host may own it
 	phaseOwned                // claimed by this host
 	phaseCold                 // claimed by this host, history not in memory
 )
 
 // program is the state of one program on this host.
 type program struct {
-	key         ProgramKey
-	phase       phase
-	reloading   bool // some rows are being read again
-	head        head // wanted; the durable one may lag
-	headVersion int64
-	history     history
-	turns       []*turn
-	durable     int   // turns that are committed
-	fetching    []int // turns whose answers must be read again
-	requests    map[string]int
-	once        map[string]onceRecord
-	settlements []settlement
-	queue       []*call
-	running     *call
-	reserved    int64 // of the running call
-	lastCost    int64
-	entry       *entry // under way; one at a time, since each builds on the version of the last
-	looked      bool   // for the newest record of head.Pending
-	dirty       bool   // the head must be written soon
-	limits      Limits
-	limitsKnown bool
-	ending      *ending
-	activeAt    bvclock.Time
-	releasedAt  bvclock.Time
-	reclaimed   bool     // is to be claimed although no call waits
-	sighted     int64    // head version that ReclaimScan judged by
-	handover    bool     // is to be given up
-	used        []string // endpoints that ran a call since the last entry
-	placed      []string // endpoints in the durable head
-	gone        bool
-	wakeAt      bvclock.Time
+	key              ProgramKey
+	phase            phase
+	awaitingRows     bool // a Load is in flight; no further step before its result
+	head             head // current state; the durable row may be older
+	headVersion      int64
+	history          history
+	turns            []*turn
+	durableTurns     int   // number of committed turns
+	fetching         []int // numbers of turns whose answers must be read again
+	requests         map[string]int
+	onceRecords      map[string]onceRecord
+	settlements      []settlement
+	queue            []*call
+	running          *call
+	reserved         int64 // cost of the running call
+	lastCost         int64
+	entry            *entry // in flight; one at a time, since each checks the version of the previous one
+	pendingRead      bool   // the once records of head.Pending were read
+	dirty            bool   // the head row must be written even if no turn finishes
+	limits           Limits
+	limitsKnown      bool
+	ending           *ending
+	activeAt         bvclock.Time
+	releasedAt       bvclock.Time
+	claimRequested   bool     // the program is to be claimed although no call is queued
+	observedVersion  int64    // head version that ReclaimScan read; 0 if it did not open the program
+	handover         bool     // the program is being handed over
+	usedEndpoints    []string // endpoints that ran a call since the last entry
+	durableEndpoints []string // endpoints in the durable head
+	closed           bool
+	wakeAt           bvclock.Time
 }
 
-// turn is a turn that has finished. Its messages leave memory with the
-// commit, its answer when a later turn is committed.
+// turn is a finished turn. Its messages are released from memory when it is committed,
+// its answer when a later turn is committed.
 type turn struct {
-	request  string
-	digest   string
-	messages []byte
-	message  []byte
-	answer   []byte
-	held     bool // answer is in memory
-	once     bool // an unrepeatable record is to be answered with it
-	waiters  []*call
+	request      string
+	digest       string
+	messages     []byte
+	message      []byte
+	answer       []byte
+	hasAnswer    bool // answer is in memory
+	unrepeatable bool // the answer also goes into a once record
+	waiters      []*call
 }
 
-// ending is a program's end under way.
+// ending is the end of a program in progress.
 type ending struct {
 	state   State
 	callers []*call
 	abortBy bvclock.Time
 }
 
-// settlement is the outcome of an unrepeatable record, to be written with the
-// next entry.
+// settlement is the outcome of an unrepeatable request, to be written to its once record
+// with the next entry.
 type settlement struct {
 	key string
 	row onceRow
@@ -76,28 +76,29 @@
 type onceRecord struct {
 	row     onceRow
 	version int64
-	settled bool // row is ahead of the platform by a settlement
+	settled bool // row contains an outcome that is not written yet
 }
 
-// nextTurn is the number of the turn that runs next.
+// nextTurn returns the number of the turn that runs next.
 func (program *program) nextTurn() int {
 	return len(program.turns) + 1
 }
 
-// unkept is how many finished turns lack their commit.
-func (program *program) unkept() int {
-	return max(len(program.turns)-program.durable, 0)
+// uncommitted returns how many finished turns are not committed.
+func (program *program) uncommitted() int {
+	return max(len(program.turns)-program.durableTurns, 0)
 }
 
 func (program *program) isRunning() bool {
 	return program.running != nil && program.running.state == callRunning
 }
 
-// idle reports whether nothing of the program is under way.
-func (program *program) idle() bool {
+// isIdle reports whether the program has no calls, no unwritten state, and no read or
+// write in flight.
+func (program *program) isIdle() bool {
 	return len(program.queue) == 0 && program.running == nil && program.entry == nil &&
-		program.unkept() == 0 && program.ending == nil && !program.reloading && len(program.fetching) == 0 &&
-		len(program.settlements) == 0 && !program.reclaimed
+		program.uncommitted() == 0 && program.ending == nil && !program.awaitingRows && len(program.fetching) == 0 &&
+		len(program.settlements) == 0 && !program.claimRequested
 }
 
 func (program *program) addTurn(turn *turn) {
@@ -108,12 +109,12 @@
 	}
 }
 
-// evict takes out of memory what can be read again.
+// evict removes the state that can be read again from memory.
 func (program *program) evict() {
 	program.phase = phaseCold
 	program.turns = nil
 	program.requests = nil
-	program.once = nil
+	program.onceRecords = nil
 	program.history = history{}
-	program.durable = 0
+	program.durableTurns = 0
 }
--- a/bvledger/reclaim.go
+++ b/bvledger/reclaim.go
@@ -7,50 +7,50 @@
 	"balsamvalve.example/bvplatform"
 )
 
-// sighting is when this host first saw a head row in its present version.
-type sighting struct {
+// observation is the version of a head row and when this host first read it.
+type observation struct {
 	version int64
 	at      bvclock.Time
 }
 
-// ReclaimScan looks through scanned head rows for programs that nobody ends:
-// those whose owner is gone, or which this host owns and has forgotten, and
-// which have been idle for their limit; and ended ones whose endpoints may
-// still hold cache. It claims and ends them; the Commit and Release effects
-// follow as for other programs.
+// ReclaimScan searches scanned head rows for programs that no other host will end: those
+// that have been idle for their limit and whose owner has failed, or whose row names
+// this host although it no longer holds them; and ended ones whose endpoints may still
+// hold cache. It claims and ends them; the Commit and Release effects follow as for
+// other programs.
 //
-// Hosts have no common clock, so idleness is how long this host has seen the
-// row unchanged. A program without a limit of its own takes otherwise.
-// Spread the rows over the hosts, so that each is seen by one of them; two
-// that see the same lose nothing but a conditional write.
+// Hosts have no common clock, so the idle time is how long this host has read the same
+// version of the row. A program without a limit of its own uses defaultIdle. Distribute
+// the rows over the hosts, so that each row is scanned by one of them; if two hosts scan
+// the same row, the only cost is a failed conditional write.
 func (ledger *Ledger) ReclaimScan(
-	now bvclock.Time, rows []bvplatform.Row, live func(owner string) bool, otherwise bvclock.Duration,
+	now bvclock.Time, rows []bvplatform.Row, isLive func(owner string) bool, defaultIdle bvclock.Duration,
 ) {
-	seen := make(map[string]sighting, len(rows))
+	current := make(map[string]observation, len(rows))
 	for _, row := range rows {
-		key, ok := headKeyOf(row.Key)
+		key, ok := parseHeadKey(row.Key)
 		if !ok {
 			continue
 		}
-		sight, found := ledger.sightings[row.Key]
-		if !found || sight.version != row.Version {
-			sight = sighting{version: row.Version, at: now}
+		observed, found := ledger.observations[row.Key]
+		if !found || observed.version != row.Version {
+			observed = observation{version: row.Version, at: now}
 		}
-		seen[row.Key] = sight
-		ledger.reclaim(now, key, row, sight, live, otherwise)
+		current[row.Key] = observed
+		ledger.reclaim(now, key, row, observed, isLive, defaultIdle)
 	}
-	ledger.sightings = seen
+	ledger.observations = current
 }
 
 func (ledger *Ledger) reclaim(
-	now bvclock.Time, key ProgramKey, row bvplatform.Row, sight sighting,
-	live func(owner string) bool, otherwise bvclock.Duration,
+	now bvclock.Time, key ProgramKey, row bvplatform.Row, observed observation,
+	isLive func(owner string) bool, defaultIdle bvclock.Duration,
 ) {
 	head, err := decode[head](row)
 	if err != nil || ledger.programs[key] != nil {
 		return
 	}
-	if head.Owner != ledger.owner && live(head.Owner) {
+	if head.Owner != ledger.owner && isLive(head.Owner) {
 		return
 	}
 	if head.State.IsEnded() {
@@ -59,24 +59,24 @@
 		}
 		return
 	}
-	idle := either(head.Idle, otherwise)
-	if idle > 0 && due(sight.at.Add(idle), now) {
+	idle := valueOr(head.Idle, defaultIdle)
+	if idle > 0 && isDue(observed.at.Add(idle), now) {
 		ledger.reopen(now, key, row.Version, &ending{state: EndedIdle})
 	}
 }
 
 // reopen loads a program in order to end it or to release its endpoints.
 func (ledger *Ledger) reopen(now bvclock.Time, key ProgramKey, version int64, ending *ending) {
-	program := ledger.open(key)
+	program := ledger.openProgram(key)
 	program.activeAt = now
 	program.ending = ending
-	program.sighted = version
-	program.reclaimed = ending == nil
-	ledger.load(program, "")
+	program.observedVersion = version
+	program.claimRequested = ending == nil
+	ledger.loadProgram(program, "")
 	ledger.schedule(program)
 }
 
-func headKeyOf(name string) (ProgramKey, bool) {
+func parseHeadKey(name string) (ProgramKey, bool) {
 	rest, ok := strings.CutPrefix(name, HeadTable)
 	if !ok {
 		return ProgramKey{}, false
@@ -85,5 +85,5 @@
 	if !ok {
 		return ProgramKey{}, false
 	}
-	return unescape(member, program)
+	return unescapeKey(member, program)
 }
--- a/bvledger/request.go
+++ b/bvledger/request.go
@@ -10,11 +10,11 @@
 type callState int
 
 const (
-	callQueued    callState = iota // waits for its turn
-	callPreparing                  // needs rows written before it may start
-	callRunning                    // started
-	callJoined                     // a repeat, waits for the outcome of the first
-	callUnkept                     // has its answer, waits for the commit
+	callQueued     callState = iota // waits for the turn before it
+	callPreparing                   // waits for rows that must be written before it may start
+	callRunning                     // started
+	callJoined                      // a repeat, waits for the outcome of the original call
+	callCommitting                  // has its answer, waits for the commit
 )
 
 type callKind int
@@ -25,35 +25,35 @@
 	kindEnd
 )
 
-// call is a caller's call on its way through the ledger.
+// call is a call and its state in the ledger.
 type call struct {
 	Call
-	kind        callKind
-	state       callState
-	program     *program
-	arrived     bvclock.Time
-	waitsSince  bvclock.Time // for rows to be written
-	waitUntil   bvclock.Time // refused then, unless it has started
-	keepUntil   bvclock.Time // told then that its answer isn't kept yet
-	joined      []*call
-	abandoned   bool
-	historyCost int64 // that Cost has in it
-	repeated    bool  // its answer is that of another submission
-	aborted     bool
-	sent        bool // MayStart said yes
-	looked      bool // for the newest record of its request
-	doubted     bool // whether this host still owns the program
-	inserted    bool // its unrepeatable record is in the platform
-	windowEnd   bvclock.Time
+	kind           callKind
+	state          callState
+	program        *program
+	arrivedAt      bvclock.Time
+	preparingSince bvclock.Time // first time that it waited for rows to be written
+	waitUntil      bvclock.Time // when it is refused, unless it has started
+	commitUntil    bvclock.Time // when it is refused if its answer is not committed
+	joined         []*call
+	abandoned      bool
+	historyCost    int64 // part of Cost
+	repeated       bool  // its answer is that of another submission
+	aborted        bool
+	startAllowed   bool // MayStart has returned true
+	recordRead     bool // the record of its request was read again
+	ownerChecked   bool // the head row was read again to verify that this host still owns the program
+	recordInserted bool // its once record is durable
+	windowEnd      bvclock.Time
 }
 
-// timeout is when Tick must look at the call; 0 means never.
+// timeout returns when Tick must handle the call; 0 means never.
 func (call *call) timeout() bvclock.Time {
 	switch call.state {
 	case callQueued, callPreparing:
 		return earlier(call.waitUntil, call.Deadline)
-	case callUnkept:
-		return earlier(call.keepUntil, call.Deadline)
+	case callCommitting:
+		return earlier(call.commitUntil, call.Deadline)
 	case callJoined:
 		return call.Deadline
 	}
@@ -68,7 +68,7 @@
 	return a
 }
 
-func due(at, now bvclock.Time) bool {
+func isDue(at, now bvclock.Time) bool {
 	return at != 0 && !now.Before(at)
 }
 
@@ -76,37 +76,37 @@
 	ledger.effects = append(ledger.effects, effect)
 }
 
-// forget ends the ledger's interest in a call.
-func (ledger *Ledger) forget(call *call) {
+// removeCall removes a call that has its outcome.
+func (ledger *Ledger) removeCall(call *call) {
 	delete(ledger.calls, call.ID)
 }
 
-func (ledger *Ledger) answer(call *call, answer []byte, turn int, repeated bool) {
-	ledger.forget(call)
+func (ledger *Ledger) answerCall(call *call, answer []byte, turn int, repeated bool) {
+	ledger.removeCall(call)
 	if !call.abandoned {
 		ledger.emit(Answer{Call: call.ID, Answer: answer, Turn: turn, Repeated: repeated})
 	}
 }
 
-// refuse ends a call and those that joined it.
+// refuseCall refuses a call and those that joined it.
 //
-// A verdict is about the request, not about this submission of it. A caller
-// that heard nothing and sends a booking again must not be told "not run" only
-// because this submission didn't get far: the first one may have run at a
-// host that is gone. Without that caller's word this host can't know. For a fetch
-// there always was a first one.
-func (ledger *Ledger) refuse(call *call, err *bvverdict.Error) {
-	ledger.forget(call)
-	told := err
+// A verdict applies to the request, not to this submission of it. A caller that received
+// no answer and resends a booking must not get the verdict "not run" only because this
+// submission did not start: the first one may have run on a host that has since failed.
+// This host knows of an earlier submission only from the caller (Resent). A fetch always
+// has one.
+func (ledger *Ledger) refuseCall(call *call, err *bvverdict.Error) {
+	ledger.removeCall(call)
+	reported := err
 	if (call.Resent || call.kind == kindFetch) && err.Verdict() == bvverdict.NotRun {
-		told = bvverdict.New(bvverdict.MayHaveRun, err.Code(), "%s", err.Reason()).
+		reported = bvverdict.New(bvverdict.MayHaveRun, err.Code(), "%s", err.Reason()).
 			WithRetryAfter(err.RetryAfter()).WithCause(errors.Unwrap(err))
 	}
 	if !call.abandoned {
-		ledger.emit(Refuse{Call: call.ID, Err: told})
+		ledger.emit(Refuse{Call: call.ID, Err: reported})
 	}
 	for _, joined := range call.joined {
-		ledger.refuse(joined, err)
+		ledger.refuseCall(joined, err)
 	}
 	call.joined = nil
 }
--- a/bvledger/settings.go
+++ b/bvledger/settings.go
@@ -2,20 +2,20 @@
 
 import "balsamvalve.example/bvclock"
 
-// Settings bound how long a Ledger waits and how much it holds. A field that
-// is zero has its default.
+// Settings bound how long a Ledger waits and how much it holds. Zero fields have their
+// defaults.
 type Settings struct {
-	OrderTimeout    bvclock.Duration // a call waits for the turn before it
-	PrepareTimeout  bvclock.Duration // a call waits for its load, claim or block
-	CommitTimeout   bvclock.Duration // a finished answer waits for its commit
-	OnceWindow      bvclock.Duration // in which an unrepeatable call may be sent
-	SuspectAfter    bvclock.Duration // a commit under way this long means an outage
-	AbortGrace      bvclock.Duration // an aborted call is waited for
-	ReleaseInterval bvclock.Duration // between two Release effects of one program
-	EvictAfter      bvclock.Duration // an unused program's history leaves memory
-	RetryAfter      bvclock.Duration // told to callers that may come back
-	MaxUncommitted  int              // finished turns of a program without commit
-	MaxQueue        int              // calls of a program that wait
+	OrderTimeout    bvclock.Duration // how long a call waits for the turn before it
+	PrepareTimeout  bvclock.Duration // how long a call waits for its load, claim or block
+	CommitTimeout   bvclock.Duration // how long a finished call waits for its commit
+	OnceWindow      bvclock.Duration // how long after its record was issued an unrepeatable call may be sent
+	SuspectAfter    bvclock.Duration // a commit in flight for longer means an outage of the platform
+	AbortGrace      bvclock.Duration // how long the end of a program waits for its aborted call
+	ReleaseInterval bvclock.Duration // time between two Release effects of one program
+	EvictAfter      bvclock.Duration // idle time after which a program's history is evicted from memory
+	RetryAfter      bvclock.Duration // sent to callers that may retry
+	MaxUncommitted  int              // finished, uncommitted turns of a program
+	MaxQueue        int              // queued calls of a program
 	BlockCalls      int64            // calls that one block of budget should cover
 }
 
@@ -36,24 +36,24 @@
 )
 
 func (settings Settings) withDefaults() Settings {
-	settings.OrderTimeout = either(settings.OrderTimeout, DefaultOrderTimeout)
-	settings.PrepareTimeout = either(settings.PrepareTimeout, DefaultPrepareTimeout)
-	settings.CommitTimeout = either(settings.CommitTimeout, DefaultCommitTimeout)
-	settings.OnceWindow = either(settings.OnceWindow, DefaultOnceWindow)
-	settings.SuspectAfter = either(settings.SuspectAfter, DefaultSuspectAfter)
-	settings.AbortGrace = either(settings.AbortGrace, DefaultAbortGrace)
-	settings.ReleaseInterval = either(settings.ReleaseInterval, DefaultReleaseInterval)
-	settings.EvictAfter = either(settings.EvictAfter, DefaultEvictAfter)
-	settings.RetryAfter = either(settings.RetryAfter, DefaultRetryAfter)
-	settings.MaxUncommitted = either(settings.MaxUncommitted, DefaultMaxUncommitted)
-	settings.MaxQueue = either(settings.MaxQueue, DefaultMaxQueue)
-	settings.BlockCalls = either(settings.BlockCalls, DefaultBlockCalls)
+	settings.OrderTimeout = valueOr(settings.OrderTimeout, DefaultOrderTimeout)
+	settings.PrepareTimeout = valueOr(settings.PrepareTimeout, DefaultPrepareTimeout)
+	settings.CommitTimeout = valueOr(settings.CommitTimeout, DefaultCommitTimeout)
+	settings.OnceWindow = valueOr(settings.OnceWindow, DefaultOnceWindow)
+	settings.SuspectAfter = valueOr(settings.SuspectAfter, DefaultSuspectAfter)
+	settings.AbortGrace = valueOr(settings.AbortGrace, DefaultAbortGrace)
+	settings.ReleaseInterval = valueOr(settings.ReleaseInterval, DefaultReleaseInterval)
+	settings.EvictAfter = valueOr(settings.EvictAfter, DefaultEvictAfter)
+	settings.RetryAfter = valueOr(settings.RetryAfter, DefaultRetryAfter)
+	settings.MaxUncommitted = valueOr(settings.MaxUncommitted, DefaultMaxUncommitted)
+	settings.MaxQueue = valueOr(settings.MaxQueue, DefaultMaxQueue)
+	settings.BlockCalls = valueOr(settings.BlockCalls, DefaultBlockCalls)
 	return settings
 }
 
-func either[Number ~int | ~int64](value, otherwise Number) Number {
+func valueOr[Number ~int | ~int64](value, fallback Number) Number {
 	if value == 0 {
-		return otherwise
+		return fallback
 	}
 	return value
 }
--- a/bvledger/status.go
+++ b/bvledger/status.go
@@ -2,12 +2,12 @@
 
 import "balsamvalve.example/bvclock"
 
-// Programs returns how many programs this host holds.
+// Programs returns the number of programs that this host holds.
 func (ledger *Ledger) Programs() int {
 	return len(ledger.programs)
 }
 
-// ProgramsOf returns how many programs of a member this host holds.
+// ProgramsOf returns the number of a member's programs that this host holds.
 func (ledger *Ledger) ProgramsOf(member string) int {
 	count := 0
 	for key := range ledger.programs {
@@ -18,37 +18,37 @@
 	return count
 }
 
-// Calls returns how many calls have no outcome yet.
+// Calls returns the number of calls without an outcome.
 func (ledger *Ledger) Calls() int {
 	return len(ledger.calls)
 }
 
-// Entries returns how many entries have no outcome yet. A host that stops
-// waits until there is none.
+// Entries returns the number of entries without an outcome. A host that stops waits until
+// it is 0.
 func (ledger *Ledger) Entries() int {
 	return len(ledger.entries)
 }
 
-// Unavailable reports whether the platform seems out of reach.
+// IsPlatformUnavailable reports whether the platform appears to be unreachable.
 func (ledger *Ledger) IsPlatformUnavailable(now bvclock.Time) bool {
-	return ledger.suspected(now)
+	return ledger.isPlatformSuspected(now)
 }
 
-// Status is what operators may see of a program.
+// Status is the status of a program for operators.
 type Status struct {
 	State       State
 	Owned       bool // claimed by this host
 	Epoch       int64
 	Turns       int
-	Uncommitted int // finished turns without their commit
+	Uncommitted int // finished turns that are not committed
 	Spent       int64
-	Drawn       int64 // budget reserved, spent or not
+	Drawn       int64 // budget drawn in blocks, spent or not
 	Running     bool
-	Waiting     int // calls
+	Waiting     int // queued calls
 	Endpoint    string
 }
 
-// Status returns what this host knows of a program; false if nothing.
+// Status returns the status of a program; false if this host does not hold it.
 func (ledger *Ledger) Status(key ProgramKey) (Status, bool) {
 	program := ledger.programs[key]
 	if program == nil {
@@ -59,7 +59,7 @@
 		Owned:       program.phase == phaseOwned || program.phase == phaseCold,
 		Epoch:       program.head.Epoch,
 		Turns:       program.head.Turns,
-		Uncommitted: program.unkept(),
+		Uncommitted: program.uncommitted(),
 		Spent:       program.head.Spent,
 		Drawn:       program.head.Drawn,
 		Running:     program.isRunning(),
--- a/bvledger/timer.go
+++ b/bvledger/timer.go
@@ -8,12 +8,12 @@
 
 type timer struct {
 	at      bvclock.Time
-	order   uint64 // of being set: keeps equal times in a fixed order
+	order   uint64 // number in the order of setting, to order equal times
 	program *program
 }
 
-// timers is a heap of the times at which Tick must look at a program. A timer
-// that its program has since replaced is skipped.
+// timers is a heap of the times at which Tick must handle a program. A timer that its
+// program has replaced is skipped.
 type timers []timer
 
 func (timers timers) Len() int { return len(timers) }
@@ -37,12 +37,12 @@
 	return last
 }
 
-// dueNow takes the programs whose timers are due.
-func (ledger *Ledger) dueNow(now bvclock.Time) []*program {
+// takeDue removes the due timers and returns their programs.
+func (ledger *Ledger) takeDue(now bvclock.Time) []*program {
 	var programs []*program
 	for len(ledger.timers) > 0 && !ledger.timers[0].at.After(now) {
 		timer := heap.Pop(&ledger.timers).(timer)
-		if timer.program.gone || timer.program.wakeAt != timer.at {
+		if timer.program.closed || timer.program.wakeAt != timer.at {
 			continue
 		}
 		timer.program.wakeAt = 0
@@ -54,7 +54,7 @@
 // schedule sets the program's timer if it is due earlier than the one set.
 func (ledger *Ledger) schedule(program *program) {
 	at := ledger.timeout(program)
-	if program.gone || at == 0 || program.wakeAt != 0 && program.wakeAt <= at {
+	if program.closed || at == 0 || program.wakeAt != 0 && program.wakeAt <= at {
 		return
 	}
 	program.wakeAt = at
@@ -62,7 +62,7 @@
 	heap.Push(&ledger.timers, timer{at: at, order: ledger.timerOrder, program: program})
 }
 
-// timeout is when something of the program is due next; 0 means never.
+// timeout returns when the next timeout of the program is due; 0 means never.
 func (ledger *Ledger) timeout(program *program) bvclock.Time {
 	var at bvclock.Time
 	for _, call := range program.queue {
@@ -73,7 +73,7 @@
 		at = earlier(at, program.running.timeout())
 		at = earlier(at, joinedTimeout(program.running))
 	}
-	for _, turn := range program.turns[min(program.durable, len(program.turns)):] {
+	for _, turn := range program.turns[min(program.durableTurns, len(program.turns)):] {
 		for _, waiter := range turn.waiters {
 			at = earlier(at, waiter.timeout())
 		}
@@ -84,7 +84,7 @@
 			at = earlier(at, caller.timeout())
 		}
 	}
-	if program.idle() {
+	if program.isIdle() {
 		at = earlier(at, ledger.idleTimeout(program))
 	}
 	return at
@@ -98,7 +98,7 @@
 	return at
 }
 
-// idleTimeout is when a program that nothing happens to is looked at.
+// idleTimeout returns when Tick must handle an idle program; 0 means never.
 func (ledger *Ledger) idleTimeout(program *program) bvclock.Time {
 	if program.head.State.IsEnded() {
 		return program.releasedAt.Add(ledger.settings.ReleaseInterval)
--- a/bvledger/write.go
+++ b/bvledger/write.go
@@ -5,73 +5,73 @@
 	"balsamvalve.example/bvplatform"
 )
 
-// entry is a program's write under way.
+// entry is a write of a program that is in flight.
 type entry struct {
-	id          EntryID
-	program     *program // nil for the record of a stray call
-	stray       *stray
-	answer      []byte
-	call        *call // that is prepared by the entry
-	onceKey     string
-	onceRow     onceRow
-	head        head
-	claim       bool
-	turns       int // durable ones after the entry
-	draws       []draw
-	amount      int64
-	settlements []settlement
-	used        []string
-	ending      bool
-	handover    bool
-	issued      bvclock.Time
-	done        bool
+	id            EntryID
+	program       *program // nil for the once record of a detached call
+	detachedCall  *detachedCall
+	answer        []byte
+	call          *call // the call that the entry prepares
+	onceKey       string
+	onceRow       onceRow
+	head          head
+	claim         bool
+	turns         int // number of durable turns after the entry
+	draws         []draw
+	drawAmount    int64
+	settlements   []settlement
+	usedEndpoints []string
+	ending        bool
+	handover      bool
+	issued        bvclock.Time
+	done          bool
 }
 
-// write issues the program's next entry if there is something to write. A
-// program has one entry under way: the next one is conditional on the version
-// that this one gives the head row.
-func (ledger *Ledger) write(now bvclock.Time, program *program) {
-	if program.entry != nil || program.reloading {
+// writeEntry issues the program's next entry if there is something to write. A program
+// has one entry in flight at a time: the next one checks the version of the head row that
+// this one creates.
+func (ledger *Ledger) writeEntry(now bvclock.Time, program *program) {
+	if program.entry != nil || program.awaitingRows {
 		return
 	}
 	entry := &entry{program: program, head: program.head.clone(), turns: len(program.turns)}
-	entry.ending = program.endReady()
+	entry.ending = program.canEnd()
 	if program.running != nil && program.running.state == callPreparing {
 		entry.call = program.running
 	}
 	if program.handover {
-		ledger.handOver(now, entry)
+		ledger.issueHandover(now, entry)
 		return
 	}
 	if program.phase != phaseOwned {
-		if entry.call == nil && !entry.ending && !program.reclaimed {
+		if entry.call == nil && !entry.ending && !program.claimRequested {
 			return
 		}
 		ledger.claim(entry)
 	}
-	if !ledger.draw(now, entry) {
+	if !ledger.planDraws(now, entry) {
 		return
 	}
 	if entry.call == nil && !entry.ending && !program.mustWrite() && !entry.claim {
 		return
 	}
-	ledger.issue(now, entry, ledger.rows(now, entry))
+	ledger.issueEntry(now, entry, ledger.buildRows(now, entry))
 }
 
-// mustWrite reports whether something waits to be durable.
+// mustWrite reports whether the program has state that must be written.
 func (program *program) mustWrite() bool {
-	return program.unkept() > 0 || program.dirty || len(program.settlements) > 0
+	return program.uncommitted() > 0 || program.dirty || len(program.settlements) > 0
 }
 
 // claim makes this host the owner, as of the entry's commit.
 //
-// It guards against two hosts that serve one program at a time, because their
-// lists of live hosts differ or one of them was paused: the epoch changes
-// with the head row, the other's next write is conditional on the old row and
-// fails, and it refuses what it has.
+// It guards against two hosts that serve one program at a time, because their lists of
+// live hosts differ or one of them was paused: the claim changes the head row, so the
+// other host's next write, conditional on the old row, fails, and that host refuses its
+// calls.
 //
-// A former owner that has not handed the program over may have spent its whole
-// block, and may have sent calls to endpoints that no row names.
+// A former owner that has not handed the program over may have spent its whole block, and
+// may have sent calls to endpoints that no row lists.
 func (ledger *Ledger) claim(entry *entry) {
 	entry.claim = true
 	entry.head.Spent = entry.head.spentAtClaim()
@@ -82,8 +82,8 @@
 	entry.head.Owner = ledger.owner
 }
 
-// rows makes the entry's checks and puts.
-func (ledger *Ledger) rows(now bvclock.Time, entry *entry) Entry {
+// buildRows returns the entry's checks and puts.
+func (ledger *Ledger) buildRows(now bvclock.Time, entry *entry) Entry {
 	program := entry.program
 	var rows Entry
 	put := func(key string, version int64, value any) {
@@ -94,24 +94,24 @@
 		entry.head.State = program.ending.state
 	}
 	inserted := ""
-	if entry.inserts() {
+	if entry.insertsRecord() {
 		inserted = entry.call.Request
 	}
 	entry.head.Pending = program.pending(inserted)
 	put(HeadKey(program.key), program.headVersion, entry.head)
 	for _, draw := range entry.draws {
-		draw.account.busy = true
+		draw.account.inFlight = true
 		put(draw.account.key, draw.account.version, draw.row)
 	}
-	ledger.insertOnce(now, entry, put)
+	ledger.insertRecord(now, entry, put)
 	entry.settlements = program.settlements
 	program.settlements = nil
-	entry.used = program.used
-	program.used = nil
+	entry.usedEndpoints = program.usedEndpoints
+	program.usedEndpoints = nil
 	for _, settlement := range entry.settlements {
-		put(settlement.key, program.once[settlement.key].version, settlement.row)
+		put(settlement.key, program.onceRecords[settlement.key].version, settlement.row)
 	}
-	for number := program.durable + 1; number <= entry.turns; number++ {
+	for number := program.durableTurns + 1; number <= entry.turns; number++ {
 		turn := program.turns[number-1]
 		rows.Puts = append(rows.Puts, bvplatform.Put{Key: TurnKey(program.key, number), Value: encode(turnRow{
 			Request:  turn.request,
@@ -125,28 +125,28 @@
 	return rows
 }
 
-// inserts reports whether the entry inserts an unrepeatable record.
-func (entry *entry) inserts() bool {
-	return entry.call != nil && entry.call.Unrepeatable && !entry.call.inserted
+// insertsRecord reports whether the entry inserts a once record.
+func (entry *entry) insertsRecord() bool {
+	return entry.call != nil && entry.call.Unrepeatable && !entry.call.recordInserted
 }
 
-func (ledger *Ledger) insertOnce(now bvclock.Time, entry *entry, put func(string, int64, any)) {
-	if !entry.inserts() {
+func (ledger *Ledger) insertRecord(now bvclock.Time, entry *entry, put func(string, int64, any)) {
+	if !entry.insertsRecord() {
 		return
 	}
 	call := entry.call
 	key := OnceKey(entry.program.key, call.Request)
-	entry.program.takeSettlement(key)
+	entry.program.removeSettlement(key)
 	call.windowEnd = now.Add(ledger.settings.OnceWindow)
 	entry.onceKey = key
 	entry.onceRow = onceRow{
 		State: onceInserted, Digest: call.Digest, Owner: ledger.owner,
 		Epoch: entry.head.Epoch, Turn: entry.turns + 1,
 	}
-	put(key, entry.program.once[key].version, entry.onceRow)
+	put(key, entry.program.onceRecords[key].version, entry.onceRow)
 }
 
-func (ledger *Ledger) issue(now bvclock.Time, entry *entry, rows Entry) {
+func (ledger *Ledger) issueEntry(now bvclock.Time, entry *entry, rows Entry) {
 	ledger.lastEntry++
 	entry.id = ledger.lastEntry
 	entry.issued = now
