--- a/bvgate/admission.go
+++ b/bvgate/admission.go
@@ -5,74 +5,75 @@
 	"balsamvalve.example/bvverdict"
 )
 
-// Limits bound what waits. A zero field stands for its default.
+// Limits bound the waiting requests of each member. A zero field stands for its
+// default.
 type Limits struct {
-	// Queue is how many requests of a member may wait; 4,096.
+	// MaxQueued is how many requests of a member may wait; 4,096.
 	MaxQueued int
-	// Wait is the backlog, in time at the member's share, at which new
-	// programs are turned away; 30 s. Programs under way are not, because
-	// what they have been served already would be lost.
+	// MaxBacklog is the backlog, as time at the member's share, above which new
+	// programs are rejected; 30 s. Running programs are not rejected, because the work
+	// already spent on them would be lost.
 	MaxBacklog bvclock.Duration
 }
 
 const (
-	defaultQueue = 4096
-	defaultWait  = 30 * bvclock.Second
-	minReturn    = 200 * bvclock.Millisecond
-	// noEndpointWait is the expected wait while no endpoint is open.
+	defaultMaxQueued  = 4096
+	defaultMaxBacklog = 30 * bvclock.Second
+	minRetryAfter     = 200 * bvclock.Millisecond
+	// noEndpointWait is the estimated wait while no endpoint is open.
 	noEndpointWait = 5 * bvclock.Second
 )
 
-func (limits Limits) queue() int {
+func (limits Limits) maxQueued() int {
 	if limits.MaxQueued == 0 {
-		return defaultQueue
+		return defaultMaxQueued
 	}
 	return limits.MaxQueued
 }
 
-func (limits Limits) wait() bvclock.Duration {
+func (limits Limits) maxBacklog() bvclock.Duration {
 	if limits.MaxBacklog == 0 {
-		return defaultWait
+		return defaultMaxBacklog
 	}
 	return limits.MaxBacklog
 }
 
-// SetLimits replaces the bounds of what waits.
+// SetLimits replaces the limits.
 func (pool *Pool) SetLimits(limits Limits) {
 	pool.limits = limits
 }
 
-// reject returns why a request is not queued, or nil. It is decided at once: a
-// caller that could not be served in time learns it while it can still go
-// elsewhere, and a member's flood fills only its own queue.
-func (pool *Pool) reject(now bvclock.Time, asked *request) *bvverdict.Error {
-	wait := pool.wait(now, asked.member, asked.Priority, asked.level)
-	if asked.Deadline != 0 {
-		left := asked.Deadline.Sub(now)
+// reject returns why a request is not queued, or nil. The decision is immediate: a
+// caller that can't be served in time can still use another service, and a member's
+// flood fills only that member's queue.
+func (pool *Pool) reject(now bvclock.Time, submitted *request) *bvverdict.Error {
+	wait := pool.estimateWait(now, submitted.member, submitted.Priority, submitted.level)
+	if submitted.Deadline != 0 {
+		left := submitted.Deadline.Sub(now)
 		if left <= 0 {
 			return bvverdict.Refuse(bvverdict.DeadlinePassed, "deadline has passed")
 		}
 		if wait > left {
-			return overloaded(wait, "deadline is in %s, before the request's turn", left)
+			return errOverloaded(wait, "deadline in %s is before the estimated start", left)
 		}
 	}
-	if asked.member.queued >= pool.limits.queue() {
-		return overloaded(wait, "queue of member %s is full", asked.Member)
+	if submitted.member.queued >= pool.limits.maxQueued() {
+		return errOverloaded(wait, "queue of member %s is full", submitted.Member)
 	}
-	if err := pool.rejectRepetition(now, asked); err != nil {
+	if err := pool.rejectRetry(now, submitted); err != nil {
 		return err
 	}
-	if asked.start {
-		return pool.rejectStart(now, asked)
+	if submitted.newProgram {
+		return pool.rejectNewProgram(now, submitted)
 	}
 	return nil
 }
 
-// starts reports whether the request begins a program.
-func (queued *request) starts() bool {
-	return queued.AttainedService == 0 && queued.HistoryEndpoint == "" && len(queued.program.sites) == 0
+// isNewProgram reports whether the request is the first of its program.
+func (queued *request) isNewProgram() bool {
+	return queued.AttainedService == 0 && queued.HistoryEndpoint == "" && len(queued.program.prefixes) == 0
 }
 
-func overloaded(wait bvclock.Duration, reason string, args ...any) *bvverdict.Error {
-	return bvverdict.Refuse(bvverdict.Overloaded, reason, args...).WithRetryAfter(max(wait, minReturn))
+func errOverloaded(wait bvclock.Duration, reason string, args ...any) *bvverdict.Error {
+	return bvverdict.Refuse(bvverdict.Overloaded, reason, args...).WithRetryAfter(max(wait, minRetryAfter))
 }
--- a/bvgate/bench_test.go
+++ b/bvgate/bench_test.go
@@ -6,9 +6,9 @@
 	"balsamvalve.example/bvclock"
 )
 
-// benchmarkDecide measures a request's whole way through a loaded pool: Ask,
-// Tick, Used and Finish, with all slots taken, eight requests waiting for each
-// endpoint and programs that come back to their caches or, cold, of one call.
+// benchmarkDecide measures all steps of a request in a loaded pool: Submit, Tick,
+// MarkUsed and Finish. All slots are taken and eight requests wait for each endpoint;
+// programs return to their caches or, if cold is set, consist of one call.
 func benchmarkDecide(b *testing.B, count int, cold bool) {
 	const slots, turns = 16, 12
 	engines := newEngines(count, slots)
@@ -20,31 +20,31 @@
 	}
 	members := [2]string{"a", "b"}
 	next := 0
-	ask := func() {
+	submit := func() {
 		i := next % len(programs)
 		turn := next / len(programs) % turns
 		program := programs[i]
 		if cold {
 			program = ""
 		}
-		engines.ask(Request{
+		engines.submit(Request{
 			Member: members[i%2], Program: program, AttainedService: Work(500 * turn),
 			PromptTokens: 600 * (turn + 1), OutputTokens: 60 + i%80, Fingerprint: uint64(next + 1),
 		})
 		next++
 	}
 	for range count * (slots + 8) {
-		ask()
+		submit()
 	}
 	engines.tick()
 	step := func() {
 		ended := engines.ends[0].id
-		request := engines.run()
-		delete(engines.asked, ended)
+		request := engines.finishNext()
+		delete(engines.submitted, ended)
 		if request.PromptTokens >= 600*turns {
 			pool.EndProgram(engines.now, request.Member, request.Program)
 		}
-		ask()
+		submit()
 		for _, effect := range engines.tick() {
 			if release, ok := effect.(Release); ok {
 				pool.ConfirmRelease(engines.now, release.Endpoint, release.Member, release.Program)
--- a/bvgate/broken_test.go
+++ b/bvgate/broken_test.go
@@ -13,119 +13,119 @@
 	"balsamvalve.example/bvverdict"
 )
 
-// verdict records what rapid reports, in place of a testing.T.
-type verdict struct {
+// recordingT records the failures that rapid reports, in place of a testing.T.
+type recordingT struct {
 	*testing.T
 	failed bool
-	text   string
+	output string
 }
 
-func (verdict *verdict) Errorf(format string, args ...any) {
-	verdict.failed = true
-	verdict.text += fmt.Sprintf(format, args...)
+func (recording *recordingT) Errorf(format string, args ...any) {
+	recording.failed = true
+	recording.output += fmt.Sprintf(format, args...)
 }
 
-func (verdict *verdict) Fatalf(format string, args ...any) {
-	verdict.Errorf(format, args...)
+func (recording *recordingT) Fatalf(format string, args ...any) {
+	recording.Errorf(format, args...)
 	runtime.Goexit()
 }
 
-func (verdict *verdict) FailNow()            { verdict.failed = true; runtime.Goexit() }
-func (verdict *verdict) Fail()               { verdict.failed = true }
-func (verdict *verdict) Failed() bool        { return verdict.failed }
-func (verdict *verdict) Logf(string, ...any) {}
-func (verdict *verdict) Log(...any)          {}
+func (recording *recordingT) FailNow()            { recording.failed = true; runtime.Goexit() }
+func (recording *recordingT) Fail()               { recording.failed = true }
+func (recording *recordingT) Failed() bool        { return recording.failed }
+func (recording *recordingT) Logf(string, ...any) {}
+func (recording *recordingT) Log(...any)          {}
 
-// requireCaught runs the oracle with the given text over a broken pool and
-// wants it to fail.
+// requireCaught runs the oracle with the given text over a faulty pool and requires
+// that the oracle fails.
 func requireCaught(t *testing.T, text string, broken func(pool *Pool) decider) {
 	t.Helper()
 	require.NoError(t, flag.Set("rapid.nofailfile", "true"))
 	require.NoError(t, flag.Set("rapid.shrinktime", "0s"))
 	require.NoError(t, flag.Set("rapid.checks", "2000"))
 	defer func() { require.NoError(t, flag.Set("rapid.checks", machineChecks)) }()
-	caught := &verdict{T: t}
+	caught := &recordingT{T: t}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		rapid.Check(caught, promises(text, broken))
+		rapid.Check(caught, checkInvariants(text, broken))
 	}()
 	<-done
 	require.True(t, caught.failed, "no oracle noticed")
-	require.Contains(t, caught.text, text)
+	require.Contains(t, caught.output, text)
 }
 
-// tampered breaks a Pool by changing what goes in or out.
-type tampered struct {
+// faultyPool injects a fault by changing the inputs or effects of a Pool.
+type faultyPool struct {
 	*Pool
-	report func(*EndpointReport)
-	ask    func(*Request)
-	finish func(*Finish)
-	effect func(Effect) []Effect
-	deaf   bool // to reports of used permits
+	changeReport  func(*EndpointReport)
+	changeRequest func(*Request)
+	changeFinish  func(*Finish)
+	changeEffect  func(Effect) []Effect
+	ignoresUsed   bool // drops MarkUsed
 }
 
-func (tampered tampered) UpdateEndpoint(now bvclock.Time, report EndpointReport) {
-	if tampered.report != nil {
-		tampered.report(&report)
+func (faulty faultyPool) UpdateEndpoint(now bvclock.Time, report EndpointReport) {
+	if faulty.changeReport != nil {
+		faulty.changeReport(&report)
 	}
-	tampered.Pool.UpdateEndpoint(now, report)
+	faulty.Pool.UpdateEndpoint(now, report)
 }
 
-func (tampered tampered) Submit(now bvclock.Time, request Request) {
-	if tampered.ask != nil {
-		tampered.ask(&request)
+func (faulty faultyPool) Submit(now bvclock.Time, request Request) {
+	if faulty.changeRequest != nil {
+		faulty.changeRequest(&request)
 	}
-	tampered.Pool.Submit(now, request)
+	faulty.Pool.Submit(now, request)
 }
 
-func (tampered tampered) MarkUsed(now bvclock.Time, id RequestID) bool {
-	return !tampered.deaf && tampered.Pool.MarkUsed(now, id)
+func (faulty faultyPool) MarkUsed(now bvclock.Time, id RequestID) bool {
+	return !faulty.ignoresUsed && faulty.Pool.MarkUsed(now, id)
 }
 
-func (tampered tampered) Finish(now bvclock.Time, finish Finish) {
-	if tampered.finish != nil {
-		tampered.finish(&finish)
+func (faulty faultyPool) Finish(now bvclock.Time, finish Finish) {
+	if faulty.changeFinish != nil {
+		faulty.changeFinish(&finish)
 	}
-	tampered.Pool.Finish(now, finish)
+	faulty.Pool.Finish(now, finish)
 }
 
-func (tampered tampered) Tick(now bvclock.Time) []Effect {
-	effects := tampered.Pool.Tick(now)
-	if tampered.effect == nil {
+func (faulty faultyPool) Tick(now bvclock.Time) []Effect {
+	effects := faulty.Pool.Tick(now)
+	if faulty.changeEffect == nil {
 		return effects
 	}
 	var changed []Effect
 	for _, effect := range effects {
-		changed = append(changed, tampered.effect(effect)...)
+		changed = append(changed, faulty.changeEffect(effect)...)
 	}
 	return changed
 }
 
 func TestOracleCatchesOneSlotTooMany(t *testing.T) {
 	requireCaught(t, "slots and is granted", func(pool *Pool) decider {
-		return tampered{Pool: pool, report: func(report *EndpointReport) { report.Slots++ }}
+		return faultyPool{Pool: pool, changeReport: func(report *EndpointReport) { report.Slots++ }}
 	})
 }
 
-func TestOracleCatchesForgottenCalls(t *testing.T) {
+func TestOracleCatchesUncountedCalls(t *testing.T) {
 	requireCaught(t, "slots and is granted", func(pool *Pool) decider {
-		return tampered{Pool: pool, deaf: true}
+		return faultyPool{Pool: pool, ignoresUsed: true}
 	})
 }
 
 func TestOracleCatchesGrantToLeavingEndpoint(t *testing.T) {
 	requireCaught(t, "leaving or gone", func(pool *Pool) decider {
-		return tampered{Pool: pool, report: func(report *EndpointReport) { report.Leaving = false }}
+		return faultyPool{Pool: pool, changeReport: func(report *EndpointReport) { report.Leaving = false }}
 	})
 }
 
 func TestOracleCatchesSecondGrantOfUnrepeatableRequest(t *testing.T) {
 	requireCaught(t, "granted twice", func(pool *Pool) decider {
-		return tampered{
-			Pool: pool,
-			ask:  func(request *Request) { request.Unrepeatable = false },
-			effect: func(effect Effect) []Effect {
+		return faultyPool{
+			Pool:          pool,
+			changeRequest: func(request *Request) { request.Unrepeatable = false },
+			changeEffect: func(effect Effect) []Effect {
 				if refusal, ok := effect.(Refusal); ok {
 					refusal.Err = bvverdict.New(bvverdict.MayHaveRun, bvverdict.Internal, "")
 					return []Effect{refusal}
@@ -138,7 +138,7 @@
 
 func TestOracleCatchesFalseVerdictOfARefusal(t *testing.T) {
 	requireCaught(t, "refused as not run", func(pool *Pool) decider {
-		return tampered{Pool: pool, effect: func(effect Effect) []Effect {
+		return faultyPool{Pool: pool, changeEffect: func(effect Effect) []Effect {
 			if refusal, ok := effect.(Refusal); ok {
 				refusal.Err = bvverdict.Refuse(bvverdict.Internal, "")
 				return []Effect{refusal}
@@ -148,15 +148,15 @@
 	})
 }
 
-func TestOracleCatchesSuspectInCompany(t *testing.T) {
+func TestOracleCatchesSuspectBesideOtherCalls(t *testing.T) {
 	requireCaught(t, "suspect", func(pool *Pool) decider {
-		return tampered{Pool: pool, ask: func(request *Request) { request.Fingerprint = 0 }}
+		return faultyPool{Pool: pool, changeRequest: func(request *Request) { request.Fingerprint = 0 }}
 	})
 }
 
 func TestOracleCatchesPoisonGrantedAgain(t *testing.T) {
 	requireCaught(t, "poisonous", func(pool *Pool) decider {
-		return tampered{Pool: pool, finish: func(finish *Finish) {
+		return faultyPool{Pool: pool, changeFinish: func(finish *Finish) {
 			for _, suspicion := range pool.suspicions {
 				suspicion.crashes = 1
 			}
@@ -166,7 +166,7 @@
 
 func TestOracleCatchesLostRelease(t *testing.T) {
 	requireCaught(t, "still caches ended program", func(pool *Pool) decider {
-		return tampered{Pool: pool, effect: func(effect Effect) []Effect {
+		return faultyPool{Pool: pool, changeEffect: func(effect Effect) []Effect {
 			if _, ok := effect.(Release); ok {
 				return nil
 			}
@@ -177,7 +177,7 @@
 
 func TestOracleCatchesLostAnswer(t *testing.T) {
 	requireCaught(t, "never answered", func(pool *Pool) decider {
-		return tampered{Pool: pool, effect: func(effect Effect) []Effect {
+		return faultyPool{Pool: pool, changeEffect: func(effect Effect) []Effect {
 			if _, ok := effect.(Refusal); ok {
 				return nil
 			}
@@ -188,11 +188,11 @@
 
 func TestOracleCatchesSecondAnswer(t *testing.T) {
 	requireCaught(t, "answered 2 times", func(pool *Pool) decider {
-		return tampered{Pool: pool, effect: func(effect Effect) []Effect { return []Effect{effect, effect} }}
+		return faultyPool{Pool: pool, changeEffect: func(effect Effect) []Effect { return []Effect{effect, effect} }}
 	})
 }
 
-func TestOracleOfSharesCatchesForgottenWeights(t *testing.T) {
+func TestOracleOfSharesCatchesIgnoredWeights(t *testing.T) {
 	engines := newEngines(8, 8)
 	require.Greater(t, shareError(engines, 3, func(weights []MemberShare) {}), 0.05)
 }
--- a/bvgate/cache.go
+++ b/bvgate/cache.go
@@ -2,24 +2,24 @@
 
 import "balsamvalve.example/bvclock"
 
-// cache is the model of an endpoint's prefix cache: the sites that no call
-// uses, least recently used first. Running calls occupy the same memory.
+// cache models an endpoint's prefix cache as an LRU list of the prefixes that no call
+// uses. Running calls occupy the same memory.
 type cache struct {
-	oldest *site
-	newest *site
-	tokens int // in the list
-	pinned int // of running calls
+	oldest *cachedPrefix
+	newest *cachedPrefix
+	tokens int // of the prefixes in the list
+	pinned int // tokens of running calls
 
-	// age is how long a site stayed unused before it was evicted.
-	age average
+	// evictionAge is how long prefixes stayed unused before they were evicted.
+	evictionAge average
 }
 
-func (cache *cache) add(now bvclock.Time, added *site) {
-	if added.cached || added.tokens == 0 {
+func (cache *cache) add(now bvclock.Time, added *cachedPrefix) {
+	if added.inCache || added.tokens == 0 {
 		return
 	}
 	added.usedAt = now
-	added.cached = true
+	added.inCache = true
 	added.previous = cache.newest
 	if cache.newest != nil {
 		cache.newest.next = added
@@ -30,8 +30,8 @@
 	cache.tokens += added.tokens
 }
 
-func (cache *cache) remove(removed *site) {
-	if !removed.cached {
+func (cache *cache) remove(removed *cachedPrefix) {
+	if !removed.inCache {
 		return
 	}
 	if removed.previous != nil {
@@ -44,24 +44,24 @@
 	} else {
 		cache.newest = removed.previous
 	}
-	removed.previous, removed.next, removed.cached = nil, nil, false
+	removed.previous, removed.next, removed.inCache = nil, nil, false
 	cache.tokens -= removed.tokens
 }
 
-// shrink evicts what does not fit.
-func (pool *Pool) shrink(now bvclock.Time, at *endpoint) {
-	cache := &at.cache
-	for cache.oldest != nil && cache.tokens+cache.pinned > at.report.CacheTokens {
+// evict removes the least recently used prefixes until the rest fits.
+func (pool *Pool) evict(now bvclock.Time, target *endpoint) {
+	cache := &target.cache
+	for cache.oldest != nil && cache.tokens+cache.pinned > target.report.CacheTokens {
 		evicted := cache.oldest
 		cache.remove(evicted)
 		evicted.tokens = 0
-		cache.age.add(float64(now.Sub(evicted.usedAt)))
+		cache.evictionAge.add(float64(now.Sub(evicted.usedAt)))
 		pool.countMemory(evicted.program)
 	}
 }
 
-// outlives reports whether an unused site is expected to be evicted before
-// the pause ends.
-func (cache *cache) outlives(pause bvclock.Duration) bool {
-	return cache.age.seen && float64(pause) > cache.age.value
+// evictsWithin reports whether an unused prefix is expected to be evicted before the
+// pause ends.
+func (cache *cache) evictsWithin(pause bvclock.Duration) bool {
+	return cache.evictionAge.hasSamples && float64(pause) > cache.evictionAge.value
 }
--- a/bvgate/call.go
+++ b/bvgate/call.go
@@ -5,91 +5,91 @@
 )
 
 const (
-	// PermitWindow is how long a permit stays valid before it is used.
+	// PermitWindow is how long an unused permit stays valid.
 	PermitWindow = 2 * bvclock.Second
-	// lapsedKept is how long a lapsed permit is remembered: a call whose Used
-	// comes late runs all the same and must count against its endpoint.
-	lapsedKept = 30 * bvclock.Second
-	// callWindow is how long a call counts without news of its owner. An
-	// owner that died reports no Finish: it shows as a slot that is never
-	// free again. Owners repeat Used for calls that run longer.
-	callWindow = 10 * bvclock.Minute
-	// alreadyKept and alreadyLimit bound the memory of unrepeatable requests;
-	// the ledger's durable record holds for longer.
-	alreadyKept  = bvclock.Hour
-	alreadyLimit = 1 << 16
+	// lapsedTTL is how long a lapsed permit is remembered: a call whose MarkUsed
+	// arrives late runs nevertheless and must count against its endpoint.
+	lapsedTTL = 30 * bvclock.Second
+	// callTTL is how long a call counts without a message from its owner. An owner that
+	// crashed sends no Finish, and the slot of its call would stay taken permanently.
+	// Owners repeat MarkUsed for calls that run longer.
+	callTTL = 10 * bvclock.Minute
+	// grantRecordTTL and maxGrantRecords limit the in-memory records of granted
+	// unrepeatable requests; the ledger's durable record is retained for longer.
+	grantRecordTTL  = bvclock.Hour
+	maxGrantRecords = 1 << 16
 )
 
-// call is a request that was granted.
+// call is a granted request.
 type call struct {
-	request   Request
-	member    *member
-	program   *program
-	boot      *boot // of the endpoint when it was granted; nil if unknown
-	site      *site
-	grantedAt bvclock.Time
-	used      bool
-	lapsed    bool
-	alone     bool // is a suspect
-	blamed    bool // for a crash of its endpoint
-	repeated  bool // counted against the retry budget
-	cached    int
-	memory    int
-	estimate  Work
-	expected  float64 // duration in milliseconds
-	timer     timer
+	request      Request
+	member       *member
+	program      *program
+	incarnation  *incarnation // of the endpoint when the call was granted; nil if unknown
+	prefix       *cachedPrefix
+	grantedAt    bvclock.Time
+	used         bool
+	lapsed       bool
+	isolated     bool // the call is a suspect
+	crashCounted bool // its endpoint's crash has been counted
+	retry        bool // counted against the retry budget
+	cachedTokens int
+	memory       int
+	estimate     Work
+	expectedMs   float64 // expected duration in milliseconds
+	timer        timer
 }
 
-// occupied is how many slots the call takes.
-func (call *call) occupied() Work {
-	if call.alone && call.boot != nil {
-		return Work(max(call.boot.endpoint.report.Slots, 1))
+// slots is how many slots the call takes.
+func (call *call) slots() Work {
+	if call.isolated && call.incarnation != nil {
+		return Work(max(call.incarnation.endpoint.report.Slots, 1))
 	}
 	return 1
 }
 
-func (pool *Pool) begin(now bvclock.Time, begun *call) {
+func (pool *Pool) startCall(now bvclock.Time, started *call) {
 	if pool.calls == nil {
 		pool.calls = make(map[RequestID]*call)
 	}
-	pool.calls[begun.request.ID] = begun
-	begun.grantedAt = now
-	begun.program.away = false
-	begun.program.history = max(begun.program.history, begun.memory)
-	pool.countMemory(begun.program)
-	pool.countRunning(begun.member, 1)
-	pool.charge(now, begun.member, begun.estimate)
-	pool.attach(now, begun)
-	pool.remember(now, &begun.request)
+	pool.calls[started.request.ID] = started
+	started.grantedAt = now
+	started.program.paused = false
+	started.program.historyTokens = max(started.program.historyTokens, started.memory)
+	pool.countMemory(started.program)
+	pool.countRunning(started.member, 1)
+	pool.charge(now, started.member, started.estimate)
+	pool.attach(now, started)
+	pool.recordUnrepeatable(now, &started.request)
 }
 
-// attach lets a call occupy its endpoint.
+// attach adds a call to its endpoint's load.
 func (pool *Pool) attach(now bvclock.Time, attached *call) {
-	pool.countFlight(&attached.request, 1)
-	if attached.boot == nil {
+	pool.countInFlight(&attached.request, 1)
+	if attached.incarnation == nil {
 		return
 	}
-	at := attached.boot.endpoint
-	attached.boot.calls[attached.request.ID] = attached
-	at.countPeak(now)
-	if attached.boot != at.boot {
+	target := attached.incarnation.endpoint
+	attached.incarnation.calls[attached.request.ID] = attached
+	target.recordPeak(now)
+	if attached.incarnation != target.incarnation {
 		return
 	}
-	if attached.alone {
-		at.alone++
+	if attached.isolated {
+		target.isolatedCalls++
 	}
 	if attached.program.key.name != "" {
-		attached.site = attached.program.visit(at)
-		pool.pin(attached.site)
+		attached.prefix = attached.program.addPrefix(target)
+		pool.pin(attached.prefix)
 	}
-	at.cache.pinned += attached.memory
-	pool.shrink(now, at)
-	pool.seat(at)
+	target.cache.pinned += attached.memory
+	pool.evict(now, target)
+	pool.refreshEndpoint(target)
 }
 
-// pin takes a site out of the cache list while a call uses it, and calls a
-// release off that was meant for an unused copy.
-func (pool *Pool) pin(pinned *site) {
+// pin takes a prefix out of the eviction list while a call uses it, and cancels a
+// pending release of an unused copy.
+func (pool *Pool) pin(pinned *cachedPrefix) {
 	pinned.pins++
 	pinned.endpoint.cache.remove(pinned)
 	if !pinned.program.ended {
@@ -97,67 +97,67 @@
 	}
 }
 
-// detach frees what a call occupies; held is what the endpoint now caches of
-// the program.
+// detach removes a call from its endpoint's load; held is how many tokens of the
+// program the endpoint now caches.
 func (pool *Pool) detach(now bvclock.Time, detached *call, held int) {
-	pool.countFlight(&detached.request, -1)
-	if detached.boot == nil {
+	pool.countInFlight(&detached.request, -1)
+	if detached.incarnation == nil {
 		return
 	}
-	at := detached.boot.endpoint
-	delete(detached.boot.calls, detached.request.ID)
-	if detached.boot != at.boot {
+	target := detached.incarnation.endpoint
+	delete(detached.incarnation.calls, detached.request.ID)
+	if detached.incarnation != target.incarnation {
 		return
 	}
-	if detached.alone {
-		at.alone--
+	if detached.isolated {
+		target.isolatedCalls--
 	}
-	at.cache.pinned -= detached.memory
-	if site := detached.site; site != nil {
-		pool.unpin(now, site, held)
+	target.cache.pinned -= detached.memory
+	if prefix := detached.prefix; prefix != nil {
+		pool.unpin(now, prefix, held)
 	}
-	pool.shrink(now, at)
-	pool.seat(at)
+	pool.evict(now, target)
+	pool.refreshEndpoint(target)
 }
 
-func (pool *Pool) unpin(now bvclock.Time, unpinned *site, held int) {
+func (pool *Pool) unpin(now bvclock.Time, unpinned *cachedPrefix, held int) {
 	unpinned.pins--
 	unpinned.tokens = held
 	if unpinned.pins == 0 {
 		unpinned.endpoint.cache.add(now, unpinned)
 	}
 	if unpinned.program.ended {
-		pool.release(now, unpinned)
+		pool.releasePrefix(now, unpinned)
 	}
 }
 
-// remember keeps that an unrepeatable request was granted.
-func (pool *Pool) remember(now bvclock.Time, granted *Request) {
+// recordUnrepeatable records that an unrepeatable request was granted.
+func (pool *Pool) recordUnrepeatable(now bvclock.Time, granted *Request) {
 	if !granted.Unrepeatable {
 		return
 	}
-	if pool.already == nil {
-		pool.already = make(map[RequestID]bvclock.Time)
+	if pool.unrepeatableGrants == nil {
+		pool.unrepeatableGrants = make(map[RequestID]bvclock.Time)
 	}
-	pool.already[granted.ID] = now
-	pool.alreadyOrder = append(pool.alreadyOrder, granted.ID)
-	for len(pool.alreadyOrder) > alreadyLimit || now.Sub(pool.already[pool.alreadyOrder[0]]) > alreadyKept {
-		delete(pool.already, pool.alreadyOrder[0])
-		pool.alreadyOrder = pool.alreadyOrder[1:]
+	pool.unrepeatableGrants[granted.ID] = now
+	pool.unrepeatableOrder = append(pool.unrepeatableOrder, granted.ID)
+	for len(pool.unrepeatableOrder) > maxGrantRecords || now.Sub(pool.unrepeatableGrants[pool.unrepeatableOrder[0]]) > grantRecordTTL {
+		delete(pool.unrepeatableGrants, pool.unrepeatableOrder[0])
+		pool.unrepeatableOrder = pool.unrepeatableOrder[1:]
 	}
 }
 
-// MarkUsed reports that the owner has begun the call, so that the permit no longer
-// lapses; owners repeat it for calls that run for minutes. It returns false
-// for a permit that is unknown or had lapsed. A call that was begun in spite
-// of that counts against its endpoint until Finish.
+// MarkUsed reports that the owner has started the call, so that the permit no longer
+// lapses; owners repeat it for calls that run for minutes. It returns false for a
+// permit that is unknown or had lapsed. If the owner starts the call nevertheless, it
+// counts against its endpoint until Finish.
 func (pool *Pool) MarkUsed(now bvclock.Time, id RequestID) bool {
 	found := pool.calls[id]
 	if found == nil {
 		return false
 	}
 	found.used = true
-	pool.setTimer(&found.timer, now.Add(callWindow), found)
+	pool.setTimer(&found.timer, now.Add(callTTL), found)
 	if !found.lapsed {
 		return true
 	}
@@ -168,30 +168,30 @@
 	return false
 }
 
-// ring lapses a permit that was not used, and later forgets it.
-func (call *call) ring(pool *Pool, now bvclock.Time) {
+// fire lapses a permit that was not used, and later deletes it.
+func (call *call) fire(pool *Pool, now bvclock.Time) {
 	if call.used || call.lapsed {
-		pool.drop(now, call, call.cached)
+		pool.dropCall(now, call, call.cachedTokens)
 		return
 	}
 	call.lapsed = true
 	pool.countRunning(call.member, -1)
 	pool.charge(now, call.member, -call.estimate)
-	pool.detach(now, call, call.cached)
-	pool.setTimer(&call.timer, now.Add(lapsedKept), call)
+	pool.detach(now, call, call.cachedTokens)
+	pool.setTimer(&call.timer, now.Add(lapsedTTL), call)
 }
 
-// drop ends a call of which held tokens stay cached.
-func (pool *Pool) drop(now bvclock.Time, dropped *call, held int) {
+// dropCall deletes a call; held tokens of its program stay cached.
+func (pool *Pool) dropCall(now bvclock.Time, dropped *call, held int) {
 	delete(pool.calls, dropped.request.ID)
 	pool.stopTimer(&dropped.timer)
 	if !dropped.lapsed {
 		pool.countRunning(dropped.member, -1)
 		pool.detach(now, dropped, held)
 	}
-	dropped.program.open--
-	pool.dropProgram(dropped.program)
-	pool.place(dropped.member)
+	dropped.program.openRequests--
+	pool.cleanUpProgram(dropped.program)
+	pool.updateBacklog(dropped.member)
 }
 
 // Finish reports that a granted call has ended.
@@ -201,49 +201,51 @@
 		return
 	}
 	if ended.lapsed && finish.Outcome != Unused {
-		// Its Used was lost on the way, but it ran.
+		// The MarkUsed message was lost, but the call ran.
 		pool.MarkUsed(now, finish.ID)
 	}
-	pool.settle(now, ended, finish)
-	pool.judge(now, ended, finish.Outcome)
-	pool.verify(now, ended, finish.Outcome)
-	pool.drop(now, ended, ended.held(finish))
+	pool.settleCharge(now, ended, finish)
+	pool.updateHealth(now, ended, finish.Outcome)
+	pool.updateSuspicion(now, ended, finish.Outcome)
+	pool.dropCall(now, ended, ended.cachedAfter(finish))
 	if finish.Pause < 0 {
 		pool.EndProgram(now, ended.request.Member, ended.request.Program)
 		return
 	}
-	pool.tidy(now, ended, finish)
+	pool.releaseStalePrefixes(now, ended, finish)
 }
 
-// verify learns whether the call is a suspect.
-func (pool *Pool) verify(now bvclock.Time, ended *call, outcome Outcome) {
+// updateSuspicion makes suspects of calls that were in flight at a crash, and clears a
+// suspect that succeeded.
+func (pool *Pool) updateSuspicion(now bvclock.Time, ended *call, outcome Outcome) {
 	switch outcome {
 	case Crashed:
-		pool.blame(now, ended)
-		pool.noteFailure(now, ended)
+		pool.suspectInFlight(now, ended)
+		pool.recordFailedCall(now, ended)
 	case Silent:
-		pool.noteFailure(now, ended)
+		pool.recordFailedCall(now, ended)
 	case Succeeded:
-		if held := pool.suspicion(&ended.request); held != nil && ended.alone {
-			pool.clear(held)
+		if held := pool.suspicionOf(&ended.request); held != nil && ended.isolated {
+			pool.clearSuspicion(held)
 		}
 	}
 }
 
-// settle corrects what was charged by the estimate, and learns from it.
-func (pool *Pool) settle(now bvclock.Time, ended *call, finish Finish) {
+// settleCharge replaces the estimated charge by the actual work and updates the
+// averages.
+func (pool *Pool) settleCharge(now bvclock.Time, ended *call, finish Finish) {
 	if ended.lapsed {
 		return
 	}
-	work := pool.cost.Work(finish.PromptTokens-finish.CachedTokens, finish.OutputTokens) * ended.occupied()
+	work := pool.cost.Work(finish.PromptTokens-finish.CachedTokens, finish.OutputTokens) * ended.slots()
 	switch finish.Outcome {
 	case Unused, Refused:
 		work = 0
-		pool.refund(ended)
+		pool.refundRetry(ended)
 	case Crashed:
-		// The members of innocent calls do not pay for the crash.
+		// The members of other calls on the endpoint do not pay for the crash.
 		work = 0
-		if ended.alone {
+		if ended.isolated {
 			work = ended.estimate
 		}
 	case Silent:
@@ -254,51 +256,51 @@
 		return
 	}
 	took := max(float64(now.Sub(ended.grantedAt)), 1)
-	pool.work.add(float64(work / ended.occupied()))
-	pool.duration.add(took)
+	pool.averageWork.add(float64(work / ended.slots()))
+	pool.averageDuration.add(took)
 	pool.learnOutput(&ended.request, finish.OutputTokens)
-	if ended.boot != nil && ended.expected > 0 {
-		ended.boot.endpoint.speed.add(took / ended.expected)
+	if ended.incarnation != nil && ended.expectedMs > 0 {
+		ended.incarnation.endpoint.speed.add(took / ended.expectedMs)
 	}
 }
 
-// held is how many tokens of the program the endpoint caches after the call.
-func (call *call) held(finish Finish) int {
+// cachedAfter is how many tokens of the program the endpoint caches after the call.
+func (call *call) cachedAfter(finish Finish) int {
 	switch finish.Outcome {
 	case Succeeded:
-		return max(finish.PromptTokens+finish.OutputTokens, call.cached)
+		return max(finish.PromptTokens+finish.OutputTokens, call.cachedTokens)
 	case Canceled:
-		return max(finish.PromptTokens, call.cached)
+		return max(finish.PromptTokens, call.cachedTokens)
 	case Crashed:
 		return 0
 	}
-	return call.cached
+	return call.cachedTokens
 }
 
-// tidy releases copies of the program's prefix that are not worth their
-// memory: older ones elsewhere, and this one if it is evicted anyway before
-// the program is back.
-func (pool *Pool) tidy(now bvclock.Time, ended *call, finish Finish) {
-	if finish.Outcome != Succeeded || ended.site == nil {
+// releaseStalePrefixes releases copies of the program's prefix that are not worth their
+// memory: older copies on other endpoints, and this one if it would be evicted before
+// the program's next call.
+func (pool *Pool) releaseStalePrefixes(now bvclock.Time, ended *call, finish Finish) {
+	if finish.Outcome != Succeeded || ended.prefix == nil {
 		return
 	}
-	for _, site := range ended.program.sites {
-		if site != ended.site && site.pins == 0 {
-			pool.release(now, site)
+	for _, prefix := range ended.program.prefixes {
+		if prefix != ended.prefix && prefix.pins == 0 {
+			pool.releasePrefix(now, prefix)
 		}
 	}
-	here := ended.site
-	ended.program.away = finish.Pause > longPause
+	current := ended.prefix
+	ended.program.paused = finish.Pause > minLongPause
 	pool.countMemory(ended.program)
-	if here.pins == 0 && here.endpoint.cache.outlives(finish.Pause) {
-		here.endpoint.cache.remove(here)
-		here.tokens = 0
-		pool.release(now, here)
+	if current.pins == 0 && current.endpoint.cache.evictsWithin(finish.Pause) {
+		current.endpoint.cache.remove(current)
+		current.tokens = 0
+		pool.releasePrefix(now, current)
 	}
 }
 
-// Adopt records a call that already runs, as its owner tells a new deciding
-// host after the old one died.
+// Adopt records a call that already runs. Its owner reports it to a new deciding host
+// after the old one failed.
 func (pool *Pool) Adopt(now bvclock.Time, running Request, endpoint string) {
 	if queued := pool.waiting[running.ID]; queued != nil {
 		pool.dequeue(queued)
@@ -315,10 +317,10 @@
 	}
 	adopted.estimate = pool.cost.Work(running.PromptTokens, running.OutputTokens)
 	if endpoint != "" {
-		adopted.boot = pool.endpointOf(now, endpoint).boot
+		adopted.incarnation = pool.endpointNamed(now, endpoint).incarnation
 	}
-	adopted.program.open++
+	adopted.program.openRequests++
 	pool.stopTimer(&adopted.program.timer)
-	pool.begin(now, adopted)
-	pool.setTimer(&adopted.timer, now.Add(callWindow), adopted)
+	pool.startCall(now, adopted)
+	pool.setTimer(&adopted.timer, now.Add(callTTL), adopted)
 }
--- a/bvgate/cost.go
+++ b/bvgate/cost.go
@@ -2,29 +2,28 @@
 
 import "balsamvalve.example/bvclock"
 
-// Cost turns tokens into engine work and time. A zero field stands for its
-// default.
+// Cost converts tokens into engine work and time. A zero field stands for its default.
 type Cost struct {
-	// PrefillWork and DecodeWork are the work of a prompt token that was not
-	// cached and of a generated token; 0.1 and 1.
+	// PrefillWork and DecodeWork are the work per uncached prompt token and per
+	// generated token; 0.1 and 1.
 	PrefillWork Work
 	DecodeWork  Work
-	// PrefillRate is prompt tokens a second of an endpoint; 8,000.
+	// PrefillRate is how many prompt tokens an endpoint processes per second; 8,000.
 	PrefillRate float64
-	// DecodeRate is generated tokens a second of a call that runs alone; 60.
+	// DecodeRate is how many tokens per second a call generates when it runs alone; 60.
 	DecodeRate float64
-	// Slowdown is the share by which each further call in a batch stretches
-	// the time of a generated token; 0.05.
+	// Slowdown is the fraction by which each further call in a batch increases the time
+	// per generated token; 0.05.
 	Slowdown float64
 }
 
 const (
-	defaultPrefillWork Work = 0.1
-	defaultDecodeWork  Work = 1
-	defaultPrefillRate      = 8000
-	defaultDecodeRate       = 60
-	defaultSlowdown         = 0.05
-	defaultOutput           = 200
+	defaultPrefillWork  Work = 0.1
+	defaultDecodeWork   Work = 1
+	defaultPrefillRate       = 8000
+	defaultDecodeRate        = 60
+	defaultSlowdown          = 0.05
+	defaultOutputTokens      = 200
 )
 
 func (cost Cost) withDefaults() Cost {
@@ -62,25 +61,24 @@
 	return alone * (1 + cost.Slowdown*float64(max(batch-1, 0)))
 }
 
-// average is an exponentially weighted moving average. The zero value has seen
-// nothing.
+// average is an exponentially weighted moving average. The zero value has no samples.
 type average struct {
-	value float64
-	seen  bool
+	value      float64
+	hasSamples bool
 }
 
 const averageGain = 0.05
 
 func (average *average) add(sample float64) {
-	if !average.seen {
-		average.value, average.seen = sample, true
+	if !average.hasSamples {
+		average.value, average.hasSamples = sample, true
 		return
 	}
 	average.value += averageGain * (sample - average.value)
 }
 
-func (average average) or(fallback float64) float64 {
-	if !average.seen {
+func (average average) valueOr(fallback float64) float64 {
+	if !average.hasSamples {
 		return fallback
 	}
 	return average.value
--- a/bvgate/endpoint.go
+++ b/bvgate/endpoint.go
@@ -9,102 +9,102 @@
 )
 
 const (
-	// goneKept is how long a removed endpoint is remembered, so that one that
-	// was missing in a lagging list is still told to release ended programs.
-	goneKept = 10 * bvclock.Minute
-	// peakWindow covers the lag of the load reports, see endpoint.peak.
+	// removedTTL is how long a removed endpoint is remembered, so that an endpoint
+	// missing from a lagging list still gets the releases of ended programs.
+	removedTTL = 10 * bvclock.Minute
+	// peakWindow covers the lag of the load reports; see endpoint.peaks.
 	peakWindow = 10 * bvclock.Second
-	// cachePressure weighs a full cache against full slots when a program
-	// without a cached prefix gets its endpoint.
-	cachePressure = 0.5
+	// cachePressureWeight is the weight of a full cache relative to full slots in the
+	// choice of an endpoint for a program without a cached prefix.
+	cachePressureWeight = 0.5
 )
 
-// boot is one incarnation of an endpoint with the calls that were sent to it.
-type boot struct {
-	endpoint    *endpoint
-	incarnation string
-	unknown     bool // no report named the incarnation yet
-	calls       map[RequestID]*call
+// incarnation is one run of an endpoint's process, with the calls that were sent to it.
+type incarnation struct {
+	endpoint  *endpoint
+	id        string
+	idUnknown bool // no report has contained the id yet
+	calls     map[RequestID]*call
 }
 
-// endpoint is an endpoint's row.
+// endpoint is the state of an endpoint.
 type endpoint struct {
-	report       EndpointReport
-	boot         *boot
-	gone         bool
-	parked       []*request
-	cache        cache
-	sites        map[programKey]*site
-	prefillUntil float64
-	peaks        [2]int // of running calls in this window and the one before
-	peakAt       bvclock.Time
-	external     int     // calls of others
-	speed        average // time of a call over its estimate
-	slots        int     // counted in pool.slots
-
-	room          int // counted in pool.room
+	report        EndpointReport
+	incarnation   *incarnation
+	removed       bool
+	parked        []*request
+	cache         cache
+	prefixes      map[programKey]*cachedPrefix
+	prefillUntil  float64
+	peaks         [2]int // running calls: maxima of the current and the previous window
+	peaksSince    bvclock.Time
+	externalCalls int     // not granted by this pool
+	speed         average // ratio of actual to estimated duration of calls
+	slots         int     // counted in Pool.slots
+
+	cacheCapacity int // counted in Pool.cacheCapacity
 	pressure      float64
-	index         int // in the heap of endpoints with a free slot, from 1
-	waking        bool
+	index         int // in the heap of endpoints with a free slot, from 1; 0 if not in it
+	woken         bool
 	health        health
-	isolates      *request // suspect for which the endpoint is emptied
-	alone         int      // suspects that run here: more than one after a late Used
-	timer         timer    // forgets a removed endpoint
+	isolatedFor   *request // suspect for which the endpoint is drained
+	isolatedCalls int      // running suspects; more than one only after a late MarkUsed
+	timer         timer    // deletes a removed endpoint
 	externalTimer timer
 }
 
 func (endpoint *endpoint) name() string { return endpoint.report.Name }
 
-func (endpoint *endpoint) running() int { return len(endpoint.boot.calls) }
+func (endpoint *endpoint) running() int { return len(endpoint.incarnation.calls) }
 
-func (endpoint *endpoint) visit(visited *site) {
-	if endpoint.sites == nil {
-		endpoint.sites = make(map[programKey]*site)
+func (endpoint *endpoint) addPrefix(added *cachedPrefix) {
+	if endpoint.prefixes == nil {
+		endpoint.prefixes = make(map[programKey]*cachedPrefix)
 	}
-	endpoint.sites[visited.program.key] = visited
+	endpoint.prefixes[added.program.key] = added
 }
 
-// open reports whether the endpoint may be granted at all.
-func (endpoint *endpoint) open() bool {
-	return !endpoint.gone && !endpoint.report.Leaving && !endpoint.health.ejected
+// isOpen reports whether calls may be granted to the endpoint at all.
+func (endpoint *endpoint) isOpen() bool {
+	return !endpoint.removed && !endpoint.report.Leaving && !endpoint.health.ejected
 }
 
-// reserved reports whether the endpoint is kept for a suspect.
-func (endpoint *endpoint) reserved() bool {
-	return endpoint.isolates != nil || endpoint.alone > 0
+// isReserved reports whether the endpoint is reserved for a suspect.
+func (endpoint *endpoint) isReserved() bool {
+	return endpoint.isolatedFor != nil || endpoint.isolatedCalls > 0
 }
 
-func (endpoint *endpoint) openRoom() int {
-	if !endpoint.open() {
+func (endpoint *endpoint) openCacheTokens() int {
+	if !endpoint.isOpen() {
 		return 0
 	}
 	return endpoint.report.CacheTokens
 }
 
-// free is how many more calls the endpoint may be granted.
-func (endpoint *endpoint) free() int {
-	if !endpoint.open() || endpoint.reserved() {
+// freeSlots is how many more calls may be granted to the endpoint.
+func (endpoint *endpoint) freeSlots() int {
+	if !endpoint.isOpen() || endpoint.isReserved() {
 		return 0
 	}
-	return endpoint.usable() - endpoint.running() - endpoint.external
+	return endpoint.usableSlots() - endpoint.running() - endpoint.externalCalls
 }
 
-// usable is how many calls the endpoint may run now.
-func (endpoint *endpoint) usable() int {
+// usableSlots is how many calls the endpoint may run now.
+func (endpoint *endpoint) usableSlots() int {
 	if endpoint.health.probing {
 		return min(endpoint.report.Slots, 1)
 	}
 	return endpoint.report.Slots
 }
 
-func (endpoint *endpoint) slowness() float64 {
-	return min(max(endpoint.speed.or(1), 0.2), 5)
+func (endpoint *endpoint) slowdown() float64 {
+	return min(max(endpoint.speed.valueOr(1), 0.2), 5)
 }
 
-func (endpoint *endpoint) measure() float64 {
+func (endpoint *endpoint) computePressure() float64 {
 	load := float64(endpoint.running()+1) / float64(max(endpoint.report.Slots, 1))
 	held := float64(endpoint.cache.tokens+endpoint.cache.pinned) / float64(max(endpoint.report.CacheTokens, 1))
-	return load*endpoint.slowness() + cachePressure*min(held, 1)
+	return load*endpoint.slowdown() + cachePressureWeight*min(held, 1)
 }
 
 // endpointHeap holds the endpoints with a free slot, least pressure first.
@@ -139,67 +139,67 @@
 	return last
 }
 
-// seat updates an endpoint's place in the heap after any change to it.
-func (pool *Pool) seat(seated *endpoint) {
+// refreshEndpoint updates the derived state of an endpoint after any change to it: its
+// position in the heap and its part of the pool's totals.
+func (pool *Pool) refreshEndpoint(changed *endpoint) {
 	slots := 0
-	if seated.open() {
-		slots = max(seated.usable(), 0)
+	if changed.isOpen() {
+		slots = max(changed.usableSlots(), 0)
 	}
-	pool.slots += slots - seated.slots
-	seated.slots = slots
-	pool.room += seated.openRoom() - seated.room
-	seated.room = seated.openRoom()
-	seated.pressure = seated.measure()
-	free := seated.free() > 0
+	pool.slots += slots - changed.slots
+	changed.slots = slots
+	pool.cacheCapacity += changed.openCacheTokens() - changed.cacheCapacity
+	changed.cacheCapacity = changed.openCacheTokens()
+	changed.pressure = changed.computePressure()
+	free := changed.freeSlots() > 0
 	switch {
-	case free && seated.index == 0:
-		heap.Push(&pool.free, seated)
-	case !free && seated.index != 0:
-		heap.Remove(&pool.free, seated.index-1)
+	case free && changed.index == 0:
+		heap.Push(&pool.freeEndpoints, changed)
+	case !free && changed.index != 0:
+		heap.Remove(&pool.freeEndpoints, changed.index-1)
 	case free:
-		heap.Fix(&pool.free, seated.index-1)
+		heap.Fix(&pool.freeEndpoints, changed.index-1)
 	}
-	if free && len(seated.parked) > 0 {
-		pool.wake(seated)
+	if free && len(changed.parked) > 0 {
+		pool.wake(changed)
 	}
-	if !seated.open() {
-		pool.unparkAll(seated)
-		pool.abandon(seated)
+	if !changed.isOpen() {
+		pool.unparkAll(changed)
+		pool.requeueSuspect(changed)
 	}
 }
 
-// wake marks an endpoint with parked requests and a free slot for the next
-// Tick.
+// wake schedules an endpoint with parked requests and a free slot for the next Tick.
 func (pool *Pool) wake(woken *endpoint) {
-	if !woken.waking {
-		woken.waking = true
+	if !woken.woken {
+		woken.woken = true
 		pool.woken = append(pool.woken, woken)
 	}
 }
 
-// UpdateEndpoint adds an endpoint or updates what is known of it.
+// UpdateEndpoint adds an endpoint or updates its state from a report.
 func (pool *Pool) UpdateEndpoint(now bvclock.Time, report EndpointReport) {
 	found := pool.endpoints[report.Name]
 	if found == nil {
 		found = pool.addEndpoint(report)
 	}
-	if found.boot.unknown {
-		found.boot.unknown = false
-		found.boot.incarnation = report.Incarnation
+	if found.incarnation.idUnknown {
+		found.incarnation.idUnknown = false
+		found.incarnation.id = report.Incarnation
 	}
-	if found.boot.incarnation != report.Incarnation {
-		pool.reboot(found, report.Incarnation)
+	if found.incarnation.id != report.Incarnation {
+		pool.replaceIncarnation(found, report.Incarnation)
 	}
-	found.gone = false
+	found.removed = false
 	pool.stopTimer(&found.timer)
 	found.report = report
-	found.countExternal(now)
+	found.updateExternal(now)
 	pool.stopTimer(&found.externalTimer)
-	if found.external > 0 {
-		pool.setTimer(&found.externalTimer, now.Add(peakWindow), externalAlarm{found})
+	if found.externalCalls > 0 {
+		pool.setTimer(&found.externalTimer, now.Add(peakWindow), externalExpiry{found})
 	}
-	pool.shrink(now, found)
-	pool.seat(found)
+	pool.evict(now, found)
+	pool.refreshEndpoint(found)
 }
 
 func (pool *Pool) addEndpoint(report EndpointReport) *endpoint {
@@ -207,91 +207,92 @@
 		pool.endpoints = make(map[string]*endpoint)
 	}
 	added := &endpoint{report: report}
-	added.boot = &boot{endpoint: added, incarnation: report.Incarnation, calls: make(map[RequestID]*call)}
+	added.incarnation = &incarnation{endpoint: added, id: report.Incarnation, calls: make(map[RequestID]*call)}
 	pool.endpoints[report.Name] = added
-	at, _ := slices.BinarySearch(pool.names, report.Name)
-	pool.names = slices.Insert(pool.names, at, report.Name)
+	at, _ := slices.BinarySearch(pool.endpointNames, report.Name)
+	pool.endpointNames = slices.Insert(pool.endpointNames, at, report.Name)
 	return added
 }
 
-// endpointOf returns an endpoint that an owner names. One that is not listed
-// yet counts as removed; its first report is taken for the incarnation that
+// endpointNamed returns an endpoint that an owner names. One that is not listed yet
+// counts as removed; the incarnation in its first report is assumed to be the one that
 // the owner means.
-func (pool *Pool) endpointOf(now bvclock.Time, name string) *endpoint {
+func (pool *Pool) endpointNamed(now bvclock.Time, name string) *endpoint {
 	if found := pool.endpoints[name]; found != nil {
 		return found
 	}
 	added := pool.addEndpoint(EndpointReport{Name: name})
-	added.boot.unknown = true
-	added.gone = true
-	pool.setTimer(&added.timer, now.Add(goneKept), added)
+	added.incarnation.idUnknown = true
+	added.removed = true
+	pool.setTimer(&added.timer, now.Add(removedTTL), added)
 	return added
 }
 
-// reboot starts an endpoint's row anew: the calls and the cache of the old
-// incarnation are gone.
-func (pool *Pool) reboot(rebooted *endpoint, incarnation string) {
-	pool.dropSites(rebooted)
-	rebooted.boot = &boot{endpoint: rebooted, incarnation: incarnation, calls: make(map[RequestID]*call)}
-	rebooted.cache = cache{}
-	rebooted.prefillUntil = 0
-	rebooted.peaks = [2]int{}
-	rebooted.external = 0
-	rebooted.alone = 0
-	rebooted.speed = average{}
-	pool.rest(rebooted)
+// replaceIncarnation resets an endpoint's state: the calls and the cache of the old
+// incarnation are lost.
+func (pool *Pool) replaceIncarnation(restarted *endpoint, id string) {
+	pool.dropPrefixes(restarted)
+	restarted.incarnation = &incarnation{endpoint: restarted, id: id, calls: make(map[RequestID]*call)}
+	restarted.cache = cache{}
+	restarted.prefillUntil = 0
+	restarted.peaks = [2]int{}
+	restarted.externalCalls = 0
+	restarted.isolatedCalls = 0
+	restarted.speed = average{}
+	pool.resetHealth(restarted)
 }
 
-func (pool *Pool) dropSites(of *endpoint) {
-	for _, site := range of.sites {
-		pool.forget(site)
+func (pool *Pool) dropPrefixes(of *endpoint) {
+	for _, prefix := range of.prefixes {
+		pool.forgetPrefix(prefix)
 	}
-	of.sites = nil
+	of.prefixes = nil
 }
 
-// RemoveEndpoint forgets an endpoint that is gone. Its calls stay until they finish.
+// RemoveEndpoint removes an endpoint that is no longer listed. Its calls stay until
+// they finish.
 func (pool *Pool) RemoveEndpoint(now bvclock.Time, name string) {
 	removed := pool.endpoints[name]
-	if removed == nil || removed.gone {
+	if removed == nil || removed.removed {
 		return
 	}
-	removed.gone = true
-	pool.setTimer(&removed.timer, now.Add(goneKept), removed)
-	pool.seat(removed)
+	removed.removed = true
+	pool.setTimer(&removed.timer, now.Add(removedTTL), removed)
+	pool.refreshEndpoint(removed)
 }
 
-// ring forgets an endpoint that was removed long ago.
-func (endpoint *endpoint) ring(pool *Pool, _ bvclock.Time) {
-	pool.dropSites(endpoint)
+// fire deletes an endpoint whose removedTTL has passed.
+func (endpoint *endpoint) fire(pool *Pool, _ bvclock.Time) {
+	pool.dropPrefixes(endpoint)
 	delete(pool.endpoints, endpoint.name())
-	at, _ := slices.BinarySearch(pool.names, endpoint.name())
-	pool.names = slices.Delete(pool.names, at, at+1)
+	at, _ := slices.BinarySearch(pool.endpointNames, endpoint.name())
+	pool.endpointNames = slices.Delete(pool.endpointNames, at, at+1)
 }
 
-// countPeak keeps the highest number of running calls of the last one to two
+// recordPeak records the highest number of running calls in the last one to two
 // windows.
-func (endpoint *endpoint) countPeak(now bvclock.Time) {
-	if now.Sub(endpoint.peakAt) >= peakWindow {
+func (endpoint *endpoint) recordPeak(now bvclock.Time) {
+	if now.Sub(endpoint.peaksSince) >= peakWindow {
 		endpoint.peaks[1] = endpoint.peaks[0]
 		endpoint.peaks[0] = 0
-		endpoint.peakAt = now
+		endpoint.peaksSince = now
 	}
 	endpoint.peaks[0] = max(endpoint.peaks[0], endpoint.running())
 }
 
-// countExternal learns of calls that this pool did not grant, such as those of
-// a host that decides from an older list. The report lags: only what exceeds
-// all that this pool had running lately is certainly not its own.
-func (endpoint *endpoint) countExternal(now bvclock.Time) {
-	endpoint.countPeak(now)
-	endpoint.external = max(0, endpoint.report.Running-max(endpoint.peaks[0], endpoint.peaks[1]))
+// updateExternal estimates the calls that this pool did not grant, such as those of a
+// host that decides from an older list. The report lags: only calls in excess of the
+// recent peak of this pool's own calls are certainly external.
+func (endpoint *endpoint) updateExternal(now bvclock.Time) {
+	endpoint.recordPeak(now)
+	endpoint.externalCalls = max(0, endpoint.report.Running-max(endpoint.peaks[0], endpoint.peaks[1]))
 }
 
-// externalAlarm forgets the calls of others when no report confirmed them for
-// a while. Otherwise an endpoint whose reports stop would stay full for good.
-type externalAlarm struct{ endpoint *endpoint }
+// externalExpiry resets the external calls when no report has confirmed them for a
+// peakWindow. Otherwise an endpoint whose reports stop would count as full permanently.
+type externalExpiry struct{ endpoint *endpoint }
 
-func (alarm externalAlarm) ring(pool *Pool, _ bvclock.Time) {
-	alarm.endpoint.external = 0
-	pool.seat(alarm.endpoint)
+func (expiry externalExpiry) fire(pool *Pool, _ bvclock.Time) {
+	expiry.endpoint.externalCalls = 0
+	pool.refreshEndpoint(expiry.endpoint)
 }
--- a/bvgate/estimate.go
+++ b/bvgate/estimate.go
@@ -7,144 +7,144 @@
 )
 
 const (
-	// minLeft is the least part of the pool that is taken to be left for the
+	// minSpareShare is the minimum part of the pool that is assumed to be available to
 	// members with a backlog.
-	minLeft = 0.05
-	minRate = Work(1e-6)
+	minSpareShare = 0.05
+	minRate       = Work(1e-6)
 )
 
-// callWork is the usual work of a call.
+// callWork is the average work of a call.
 func (pool *Pool) callWork() Work {
-	return Work(pool.work.or(float64(pool.cost.Work(0, defaultOutput))))
+	return Work(pool.averageWork.valueOr(float64(pool.cost.Work(0, defaultOutputTokens))))
 }
 
-// callTime is the usual time of a call in milliseconds.
+// callTime is the average duration of a call in milliseconds.
 func (pool *Pool) callTime() float64 {
-	return pool.duration.or(pool.cost.decodeTime(defaultOutput, 1))
+	return pool.averageDuration.valueOr(pool.cost.decodeTime(defaultOutputTokens, 1))
 }
 
-// rate is the pool's work a millisecond with all slots taken.
+// rate is the pool's work per millisecond with all slots taken.
 func (pool *Pool) rate() Work {
 	return max(Work(float64(pool.slots)/pool.callTime())*pool.callWork(), minRate)
 }
 
-// flow measures the work a millisecond that a member is granted while it has
-// a backlog, averaged over about flowWindow.
-type flow struct {
-	since bvclock.Time
-	at    bvclock.Time
-	work  float64 // of which older parts count less
+// rateMeter measures the work per millisecond granted to a member while it has a
+// backlog, averaged over about rateWindow.
+type rateMeter struct {
+	since     bvclock.Time
+	updatedAt bvclock.Time
+	work      float64 // decays exponentially
 }
 
 const (
-	flowWindow = 10 * bvclock.Second
-	// flowLeast is how long a backlog lasts before its flow says anything.
-	flowLeast = 2 * bvclock.Second
+	rateWindow = 10 * bvclock.Second
+	// minRateAge is how long a backlog must exist before its rate is used.
+	minRateAge = 2 * bvclock.Second
 )
 
-func (flow *flow) add(now bvclock.Time, work Work) {
-	flow.work = flow.work*decay(now.Sub(flow.at)) + float64(work)
-	flow.at = now
+func (meter *rateMeter) add(now bvclock.Time, work Work) {
+	meter.work = meter.work*decay(now.Sub(meter.updatedAt)) + float64(work)
+	meter.updatedAt = now
 }
 
 func decay(passed bvclock.Duration) float64 {
-	return math.Exp(-float64(passed) / float64(flowWindow))
+	return math.Exp(-float64(passed) / float64(rateWindow))
 }
 
-// rate returns the flow, or false if it is too young.
-func (flow *flow) rate(now bvclock.Time) (Work, bool) {
-	age := now.Sub(flow.since)
-	if age < flowLeast {
+// rate returns the measured rate, or false if the measurement is too short.
+func (meter *rateMeter) rate(now bvclock.Time) (Work, bool) {
+	age := now.Sub(meter.since)
+	if age < minRateAge {
 		return 0, false
 	}
-	seen := float64(flowWindow) * (1 - decay(age))
-	return max(Work(flow.work*decay(now.Sub(flow.at))/seen), minRate), true
+	measured := float64(rateWindow) * (1 - decay(age))
+	return max(Work(meter.work*decay(now.Sub(meter.updatedAt))/measured), minRate), true
 }
 
-// memberRate is the work a millisecond that a backlogged member gets: as
-// measured, or at first its share of what the members without backlog leave.
-// The share alone is a bad measure: it halves whenever the other member has a
+// memberRate is the work per millisecond that a backlogged member gets: the measured
+// rate or, until there is one, its share of the capacity that members without a backlog
+// leave. The share alone is a poor estimate: it halves whenever the other member has a
 // single request waiting.
-func (pool *Pool) memberRate(now bvclock.Time, asking *member) Work {
-	if asking.queued > 0 {
-		if rate, ok := asking.flow.rate(now); ok {
+func (pool *Pool) memberRate(now bvclock.Time, requester *member) Work {
+	if requester.queued > 0 {
+		if rate, ok := requester.grantRate.rate(now); ok {
 			return rate
 		}
 	}
 	weight := pool.backloggedWeight
 	running := pool.backloggedRunning
-	if asking.queued == 0 {
-		weight += asking.weight()
-		running += asking.running
+	if requester.queued == 0 {
+		weight += requester.weight()
+		running += requester.running
 	}
 	others := float64(pool.runningTotal-running) / float64(max(pool.slots, 1))
-	left := max(1-others, minLeft)
-	return max(pool.rate()*Work(left*asking.weight()/weight), minRate)
+	left := max(1-others, minSpareShare)
+	return max(pool.rate()*Work(left*requester.weight()/weight), minRate)
 }
 
-// wait estimates how long a request would wait that is asked now.
-func (pool *Pool) wait(now bvclock.Time, asking *member, priority, level int) bvclock.Duration {
+// estimateWait estimates how long a request submitted now would wait.
+func (pool *Pool) estimateWait(now bvclock.Time, requester *member, priority, level int) bvclock.Duration {
 	if pool.slots == 0 {
-		return noEndpointWait + pool.limitWait(asking)
+		return noEndpointWait + pool.limitWait(requester)
 	}
-	if len(pool.free) > 0 && asking.lines() == 0 {
-		return pool.limitWait(asking)
+	if len(pool.freeEndpoints) > 0 && requester.queueLen() == 0 {
+		return pool.limitWait(requester)
 	}
-	ahead := asking.queue.ahead(priority, level) + asking.starts.ahead(priority, level) + asking.parkedWork
+	ahead := requester.queue.workAhead(priority, level) + requester.newPrograms.workAhead(priority, level) + requester.parkedWork
 	next := float64(pool.callWork() / pool.rate())
-	wait := bvclock.Duration(float64(ahead/pool.memberRate(now, asking)) + next)
-	return max(wait, pool.limitWait(asking))
+	wait := bvclock.Duration(float64(ahead/pool.memberRate(now, requester)) + next)
+	return max(wait, pool.limitWait(requester))
 }
 
-// limitWait is the wait that the member's own limits cause.
-func (pool *Pool) limitWait(asking *member) bvclock.Duration {
+// limitWait is the wait caused by the member's own limits.
+func (pool *Pool) limitWait(requester *member) bvclock.Duration {
 	wait := 0.0
-	if rate := asking.share.Rate; rate > 0 {
-		wait = (float64(asking.queued+1) - asking.tokens) / rate * float64(bvclock.Second)
+	if rate := requester.share.Rate; rate > 0 {
+		wait = (float64(requester.queued+1) - requester.rateTokens) / rate * float64(bvclock.Second)
 	}
-	if limit := asking.share.Concurrency; limit > 0 {
-		over := asking.running + asking.queued + 1 - limit
+	if limit := requester.share.Concurrency; limit > 0 {
+		over := requester.running + requester.queued + 1 - limit
 		wait = max(wait, float64(over)*pool.callTime()/float64(limit))
 	}
 	return bvclock.Duration(max(wait, 0))
 }
 
-// backlogTime is how long a member's waiting requests keep its share busy.
-func (pool *Pool) backlogTime(now bvclock.Time, asking *member) bvclock.Duration {
-	if asking.queued == 0 {
+// backlogTime is how long the member's waiting requests occupy its share.
+func (pool *Pool) backlogTime(now bvclock.Time, requester *member) bvclock.Duration {
+	if requester.queued == 0 {
 		return 0
 	}
 	if pool.slots == 0 {
 		return noEndpointWait
 	}
-	work := asking.queue.work() + asking.starts.work() + asking.parkedWork
-	return max(bvclock.Duration(float64(work/pool.memberRate(now, asking))), pool.limitWait(asking))
+	work := requester.queue.totalWork() + requester.newPrograms.totalWork() + requester.parkedWork
+	return max(bvclock.Duration(float64(work/pool.memberRate(now, requester))), pool.limitWait(requester))
 }
 
-func (pool *Pool) expectOutput(asked *Request) int {
-	learned := pool.outputs[outputKey{member: asked.Member, class: asked.Class}]
+func (pool *Pool) expectedOutput(submitted *Request) int {
+	learned := pool.averageOutputs[outputKey{member: submitted.Member, class: submitted.Class}]
 	if learned == nil {
-		return defaultOutput
+		return defaultOutputTokens
 	}
 	return max(int(learned.value), 1)
 }
 
 func (pool *Pool) learnOutput(request *Request, tokens int) {
 	key := outputKey{member: request.Member, class: request.Class}
-	learned := pool.outputs[key]
+	learned := pool.averageOutputs[key]
 	if learned == nil {
-		if pool.outputs == nil {
-			pool.outputs = make(map[outputKey]*average)
+		if pool.averageOutputs == nil {
+			pool.averageOutputs = make(map[outputKey]*average)
 		}
 		learned = &average{}
-		pool.outputs[key] = learned
+		pool.averageOutputs[key] = learned
 	}
 	learned.add(float64(tokens))
 }
 
-// allow lets the rate limit's tokens grow when a member asks.
-func (pool *Pool) allow(now bvclock.Time, asking *member) {
-	if asking.share.Rate > 0 && asking.timer.index == 0 {
-		asking.ring(pool, now)
+// refreshRateLimit refills the rate limit's tokens when a member submits a request.
+func (pool *Pool) refreshRateLimit(now bvclock.Time, requester *member) {
+	if requester.share.Rate > 0 && requester.timer.index == 0 {
+		requester.fire(pool, now)
 	}
 }
--- a/bvgate/health.go
+++ b/bvgate/health.go
@@ -3,21 +3,22 @@
 import "balsamvalve.example/bvclock"
 
 const (
-	// ejectAfter is how many calls in a row must fail without a crash before
-	// an endpoint is ejected: one silent connection says nothing of it.
-	ejectAfter = 2
-	firstEject = bvclock.Second
-	lastEject  = bvclock.Minute
+	// ejectAfterFailures is how many consecutive calls must fail without a crash before
+	// an endpoint is ejected: one silent connection is no evidence of a failed
+	// endpoint.
+	ejectAfterFailures = 2
+	minEjection        = bvclock.Second
+	maxEjection        = bvclock.Minute
 )
 
-// health is what calls showed of an endpoint. An endpoint that fails is
-// ejected for a growing, bounded time and then probed by one call at a time.
+// health tracks the failures of calls to an endpoint. An endpoint that fails is ejected
+// for an exponentially growing, bounded time and then probed by one call at a time.
 //
-// It guards against an endpoint that accepts calls and answers none: it shows
-// the fewest calls in flight, so that without ejection each failed call makes
-// room for the next one there.
+// It guards against an endpoint that accepts calls and answers none. Such an endpoint
+// has the fewest calls in flight, so that without ejection each call that times out
+// would be followed by another one there.
 type health struct {
-	failures  int // in a row
+	failures  int // consecutive
 	ejections int // since the last success
 	ejected   bool
 	probing   bool
@@ -25,61 +26,63 @@
 	timer     timer
 }
 
-type healthAlarm struct{ endpoint *endpoint }
+type ejectionExpiry struct{ endpoint *endpoint }
 
-// judge learns from how a call ended.
-func (pool *Pool) judge(now bvclock.Time, ended *call, outcome Outcome) {
-	if ended.boot == nil || ended.boot != ended.boot.endpoint.boot {
+// updateHealth records the outcome of a call in its endpoint's health.
+func (pool *Pool) updateHealth(now bvclock.Time, ended *call, outcome Outcome) {
+	if ended.incarnation == nil || ended.incarnation != ended.incarnation.endpoint.incarnation {
 		return
 	}
-	at := ended.boot.endpoint
+	target := ended.incarnation.endpoint
 	switch outcome {
 	case Succeeded:
-		pool.recover(at)
+		pool.recordSuccess(target)
 	case Crashed:
-		pool.fail(now, ended, ejectAfter)
+		pool.recordFailure(now, ended, ejectAfterFailures)
 	case Silent, Refused:
-		pool.fail(now, ended, 1)
+		pool.recordFailure(now, ended, 1)
 	}
 }
 
-func (pool *Pool) recover(at *endpoint) {
-	if at.health.ejected {
+func (pool *Pool) recordSuccess(target *endpoint) {
+	if target.health.ejected {
 		return
 	}
-	at.health = health{}
-	pool.seat(at)
+	target.health = health{}
+	pool.refreshEndpoint(target)
 }
 
-// fail counts a failure. Calls from before the last ejection say nothing new.
-func (pool *Pool) fail(now bvclock.Time, failed *call, count int) {
-	at := failed.boot.endpoint
-	health := &at.health
+// recordFailure counts a failure. Calls granted before the last ejection don't count:
+// their failures are not new evidence.
+func (pool *Pool) recordFailure(now bvclock.Time, failed *call, count int) {
+	target := failed.incarnation.endpoint
+	health := &target.health
 	if health.ejected || health.ejections > 0 && failed.grantedAt.Before(health.ejectedAt) {
 		return
 	}
 	health.failures += count
-	if health.failures < ejectAfter && !health.probing {
+	if health.failures < ejectAfterFailures && !health.probing {
 		return
 	}
 	health.ejected, health.probing, health.failures = true, false, 0
 	health.ejectedAt = now
-	away := min(firstEject<<min(health.ejections, 10), lastEject)
+	ejection := min(minEjection<<min(health.ejections, 10), maxEjection)
 	health.ejections++
-	pool.setTimer(&health.timer, now.Add(away), healthAlarm{at})
-	pool.seat(at)
+	pool.setTimer(&health.timer, now.Add(ejection), ejectionExpiry{target})
+	pool.refreshEndpoint(target)
 }
 
-func (alarm healthAlarm) ring(pool *Pool, _ bvclock.Time) {
-	alarm.endpoint.health.ejected = false
-	alarm.endpoint.health.probing = true
-	pool.seat(alarm.endpoint)
+func (expiry ejectionExpiry) fire(pool *Pool, _ bvclock.Time) {
+	expiry.endpoint.health.ejected = false
+	expiry.endpoint.health.probing = true
+	pool.refreshEndpoint(expiry.endpoint)
 }
 
-// rest starts the health of a new incarnation: it is probed if the old one
-// failed, because an endpoint that crashes at each start looks new each time.
-func (pool *Pool) rest(rebooted *endpoint) {
-	pool.stopTimer(&rebooted.health.timer)
-	ejections := rebooted.health.ejections
-	rebooted.health = health{ejections: ejections, probing: ejections > 0}
+// resetHealth starts the health of a new incarnation. It is probed if the old one had
+// failed, because an endpoint that crashes after each start has a new incarnation each
+// time.
+func (pool *Pool) resetHealth(restarted *endpoint) {
+	pool.stopTimer(&restarted.health.timer)
+	ejections := restarted.health.ejections
+	restarted.health = health{ejections: ejections, probing: ejections > 0}
 }
--- a/bvgate/isolation.go
+++ b/bvgate/isolation.go
@@ -7,32 +7,32 @@
 )
 
 const (
-	// isolationPart is the part of the endpoints that suspects may empty at a
-	// time; one endpoint at least.
-	isolationPart = 16
-	// suspectsWeighed bounds the work of a Tick when many suspects wait.
-	suspectsWeighed = 8
+	// isolationDivisor limits the endpoints drained for suspects at a time to one in
+	// 16, but at least one.
+	isolationDivisor = 16
+	// maxSuspectsPerPass limits the work of one pass when many suspects wait.
+	maxSuspectsPerPass = 8
 )
 
-// countFlight counts the calls in flight of one content.
-func (pool *Pool) countFlight(request *Request, change int) {
+// countInFlight counts the calls in flight with the same content.
+func (pool *Pool) countInFlight(request *Request, change int) {
 	if request.Fingerprint == 0 {
 		return
 	}
-	if pool.flights == nil {
-		pool.flights = make(map[suspectKey]int)
+	if pool.inFlight == nil {
+		pool.inFlight = make(map[suspectKey]int)
 	}
-	key := keyOf(request)
-	pool.flights[key] += change
-	if pool.flights[key] == 0 {
-		delete(pool.flights, key)
+	key := suspectKeyOf(request)
+	pool.inFlight[key] += change
+	if pool.inFlight[key] == 0 {
+		delete(pool.inFlight, key)
 	}
 }
 
-// setAside moves a suspect from its member's queue to those that wait for an
+// queueSuspect moves a suspect from its member's queue to the suspects that wait for an
 // empty endpoint, and refuses a poisonous request.
-func (pool *Pool) setAside(suspect *request) {
-	if pool.poisonous(&suspect.Request) {
+func (pool *Pool) queueSuspect(suspect *request) {
+	if pool.isPoisonous(&suspect.Request) {
 		pool.dequeue(suspect)
 		pool.refuse(suspect.ID, errPoisonous())
 		return
@@ -41,123 +41,123 @@
 		suspect.parkedAt.unpark(suspect)
 	}
 	if suspect.bucket != nil {
-		suspect.line().remove(suspect)
+		suspect.memberQueue().remove(suspect)
 	}
-	pool.watch(suspect)
-	pool.place(suspect.member)
-	suspect.aside = true
-	pool.suspects = append(pool.suspects, suspect)
+	pool.updateTimer(suspect)
+	pool.updateBacklog(suspect.member)
+	suspect.queuedAsSuspect = true
+	pool.waitingSuspects = append(pool.waitingSuspects, suspect)
 }
 
-// serveSuspects gives endpoints to suspects, and reports whether it did
-// anything.
+// serveSuspects assigns endpoints to suspects, and reports whether anything changed.
 func (pool *Pool) serveSuspects(now bvclock.Time) bool {
 	served := false
-	for range min(suspectsWeighed, len(pool.suspects)) {
-		suspect := pool.suspects[0]
-		pool.suspects = pool.suspects[1:]
-		suspect.aside = false
+	for range min(maxSuspectsPerPass, len(pool.waitingSuspects)) {
+		suspect := pool.waitingSuspects[0]
+		pool.waitingSuspects = pool.waitingSuspects[1:]
+		suspect.queuedAsSuspect = false
 		if !pool.serveSuspect(suspect) {
-			suspect.aside = true
-			pool.suspects = append(pool.suspects, suspect)
+			suspect.queuedAsSuspect = true
+			pool.waitingSuspects = append(pool.waitingSuspects, suspect)
 			continue
 		}
 		served = true
 	}
-	for _, at := range slices.Clone(pool.isolated) {
-		if at.running() == 0 && at.external == 0 {
-			pool.grantAlone(now, at)
+	for _, target := range slices.Clone(pool.isolating) {
+		if target.running() == 0 && target.externalCalls == 0 {
+			pool.grantIsolated(now, target)
 			served = true
 		}
 	}
 	return served
 }
 
-// serveSuspect refuses a suspect, puts it back into its member's queue or
-// isolates an endpoint for it; false leaves it waiting.
+// serveSuspect refuses a suspect, returns it to its member's queue or isolates an
+// endpoint for it. It returns false if the suspect must wait.
 func (pool *Pool) serveSuspect(suspect *request) bool {
-	held := pool.suspicion(&suspect.Request)
+	held := pool.suspicionOf(&suspect.Request)
 	if held == nil {
-		suspect.line().add(suspect)
-		pool.place(suspect.member)
+		suspect.memberQueue().add(suspect)
+		pool.updateBacklog(suspect.member)
 		return true
 	}
-	if held.crashes >= poisonousAt {
+	if held.crashes >= poisonousCrashes {
 		pool.dequeue(suspect)
 		pool.refuse(suspect.ID, errPoisonous())
 		return true
 	}
-	if !pool.isolatable(suspect) {
+	if !pool.canIsolate(suspect) {
 		return false
 	}
-	pool.isolate(pool.free[0], suspect)
+	pool.isolate(pool.freeEndpoints[0], suspect)
 	return true
 }
 
-func (pool *Pool) isolate(at *endpoint, suspect *request) {
-	suspect.isolates = at
-	at.isolates = suspect
-	pool.isolated = append(pool.isolated, at)
-	pool.countFlight(&suspect.Request, 1)
-	pool.seat(at)
-	pool.unparkAll(at)
+func (pool *Pool) isolate(target *endpoint, suspect *request) {
+	suspect.isolating = target
+	target.isolatedFor = suspect
+	pool.isolating = append(pool.isolating, target)
+	pool.countInFlight(&suspect.Request, 1)
+	pool.refreshEndpoint(target)
+	pool.unparkAll(target)
 }
 
-func (pool *Pool) isolatable(suspect *request) bool {
-	if len(pool.free) == 0 || len(pool.isolated) >= max(1, len(pool.names)/isolationPart) {
+func (pool *Pool) canIsolate(suspect *request) bool {
+	if len(pool.freeEndpoints) == 0 || len(pool.isolating) >= max(1, len(pool.endpointNames)/isolationDivisor) {
 		return false
 	}
-	if pool.flights[keyOf(&suspect.Request)] > 0 {
+	if pool.inFlight[suspectKeyOf(&suspect.Request)] > 0 {
 		return false
 	}
 	from := suspect.member
-	if from.atConcurrency() || from.atRate() {
+	if from.atConcurrencyLimit() || from.atRateLimit() {
 		return false
 	}
-	return len(pool.backlog) == 0 || from.virtual <= pool.backlog[0].virtual+pool.claim()
+	return len(pool.backlog) == 0 || from.virtualTime <= pool.backlog[0].virtualTime+pool.virtualTolerance()
 }
 
-// grantAlone grants an empty endpoint to the suspect that waited for it.
-func (pool *Pool) grantAlone(now bvclock.Time, at *endpoint) {
-	suspect := at.isolates
-	if pool.poisonous(&suspect.Request) {
-		// Another host told of its second crash, or a call of the same content
-		// that was adopted crashed too.
+// grantIsolated grants an empty endpoint to the suspect for which it was drained.
+func (pool *Pool) grantIsolated(now bvclock.Time, target *endpoint) {
+	suspect := target.isolatedFor
+	if pool.isPoisonous(&suspect.Request) {
+		// Another host reported the second crash, or an adopted call with the same
+		// content crashed too.
 		pool.dequeue(suspect)
 		pool.refuse(suspect.ID, errPoisonous())
 		return
 	}
-	if pool.flights[keyOf(&suspect.Request)] > 1 {
-		// A call of the same content was adopted while the endpoint emptied.
-		pool.abandon(at)
-		pool.seat(at)
+	if pool.inFlight[suspectKeyOf(&suspect.Request)] > 1 {
+		// A call with the same content was adopted while the endpoint drained.
+		pool.requeueSuspect(target)
+		pool.refreshEndpoint(target)
 		return
 	}
-	chosen := pool.weigh(now, suspect, at)
-	chosen.alone = true
+	chosen := pool.weigh(now, suspect, target)
+	chosen.isolated = true
 	pool.grant(now, suspect, chosen)
 }
 
-// unisolate gives an endpoint back that was being emptied for a suspect.
+// unisolate reopens an endpoint that was being drained for a suspect.
 func (pool *Pool) unisolate(suspect *request) {
-	at := suspect.isolates
-	suspect.isolates = nil
-	at.isolates = nil
-	pool.isolated = slices.DeleteFunc(pool.isolated, func(other *endpoint) bool { return other == at })
-	pool.countFlight(&suspect.Request, -1)
-	pool.seat(at)
+	target := suspect.isolating
+	suspect.isolating = nil
+	target.isolatedFor = nil
+	pool.isolating = slices.DeleteFunc(pool.isolating, func(other *endpoint) bool { return other == target })
+	pool.countInFlight(&suspect.Request, -1)
+	pool.refreshEndpoint(target)
 }
 
-// abandon lets the suspect of an endpoint that closed wait for another one.
-func (pool *Pool) abandon(closed *endpoint) {
-	suspect := closed.isolates
+// requeueSuspect returns the suspect of a closed endpoint to the suspects that wait for
+// an endpoint.
+func (pool *Pool) requeueSuspect(closed *endpoint) {
+	suspect := closed.isolatedFor
 	if suspect == nil {
 		return
 	}
-	closed.isolates = nil
-	suspect.isolates = nil
-	pool.isolated = slices.DeleteFunc(pool.isolated, func(other *endpoint) bool { return other == closed })
-	pool.countFlight(&suspect.Request, -1)
-	suspect.aside = true
-	pool.suspects = append(pool.suspects, suspect)
+	closed.isolatedFor = nil
+	suspect.isolating = nil
+	pool.isolating = slices.DeleteFunc(pool.isolating, func(other *endpoint) bool { return other == closed })
+	pool.countInFlight(&suspect.Request, -1)
+	suspect.queuedAsSuspect = true
+	pool.waitingSuspects = append(pool.waitingSuspects, suspect)
 }
--- a/bvgate/machine_test.go
+++ b/bvgate/machine_test.go
@@ -14,8 +14,8 @@
 	"balsamvalve.example/bvverdict"
 )
 
-// TestMain fixes the seed, so that each run gives the same verdict; fresh
-// seeds are explored with -rapid.seed.
+// TestMain fixes the seed, so that each run has the same result; use -rapid.seed to
+// test other seeds.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	setUnlessGiven("rapid.seed", "20261")
@@ -35,12 +35,12 @@
 	}
 }
 
-// decider is what the machine drives: a Pool, or a fake that breaks one.
+// decider is what the machine drives: a Pool or a faultyPool.
 type decider interface {
 	SetMembers(shares []MemberShare)
 	UpdateEndpoint(now bvclock.Time, report EndpointReport)
 	RemoveEndpoint(now bvclock.Time, name string)
-	Submit(now bvclock.Time, asked Request)
+	Submit(now bvclock.Time, submitted Request)
 	Withdraw(now bvclock.Time, id RequestID)
 	MarkUsed(now bvclock.Time, id RequestID) bool
 	Finish(now bvclock.Time, finish Finish)
@@ -52,48 +52,48 @@
 	NextTick() bvclock.Time
 }
 
-// flight is a granted call as the machine sees it.
+// flight is the machine's record of a granted call.
 type flight struct {
 	Request
-	endpoint string
-	boot     string
-	expires  bvclock.Time
-	alone    bool
-	blamed   bool
+	endpoint     string
+	incarnation  string
+	expires      bvclock.Time
+	isolated     bool
+	crashCounted bool
 }
 
-type held struct{ endpoint, boot, member, program string }
+type cachedProgram struct{ endpoint, incarnation, member, program string }
 
-// machine keeps the oracles: plain maps of what was asked, granted and told.
+// machine holds the state of the oracles: plain maps of requests, grants and reports.
 type machine struct {
 	pool     decider
 	now      bvclock.Time
 	draw     func(label string, n int) int
 	violated string
-	only     string // the oracle whose violations count; all if empty
-
-	reports  map[string]EndpointReport // the last of each endpoint
-	listed   map[string]bool
-	boots    int
-	asked    map[RequestID]Request
-	answers  map[RequestID]int // grants, refusals and withdrawals
-	lastID   RequestID
-	flights  map[RequestID]*flight
-	lapsed   map[RequestID]*flight
-	grants   map[RequestID]int // of unrepeatable requests
-	crashes  map[suspectKey]int
-	ended    map[string]bool
-	holds    map[held]bool // what endpoints cache
-	releases []Release
-	zones    bool
+	only     string // text of the only oracle whose violations count; empty for all
+
+	reports      map[string]EndpointReport // the last report of each endpoint
+	listed       map[string]bool
+	incarnations int
+	submitted    map[RequestID]Request
+	answers      map[RequestID]int // grants, refusals and withdrawals
+	lastID       RequestID
+	flights      map[RequestID]*flight
+	lapsed       map[RequestID]*flight
+	grants       map[RequestID]int // of unrepeatable requests
+	crashes      map[suspectKey]int
+	ended        map[string]bool
+	cached       map[cachedProgram]bool // programs cached by endpoints
+	releases     []Release
+	zones        bool
 }
 
 func newMachine(pool decider, zones bool) *machine {
 	machine := &machine{
 		pool: pool, zones: zones,
-		reports: map[string]EndpointReport{}, listed: map[string]bool{}, asked: map[RequestID]Request{}, answers: map[RequestID]int{},
+		reports: map[string]EndpointReport{}, listed: map[string]bool{}, submitted: map[RequestID]Request{}, answers: map[RequestID]int{},
 		flights: map[RequestID]*flight{}, lapsed: map[RequestID]*flight{}, grants: map[RequestID]int{},
-		crashes: map[suspectKey]int{}, ended: map[string]bool{}, holds: map[held]bool{},
+		crashes: map[suspectKey]int{}, ended: map[string]bool{}, cached: map[cachedProgram]bool{},
 	}
 	pool.SetMembers([]MemberShare{{Member: "a", Weight: 2}, {Member: "b", Weight: 1, Concurrency: 5}, {Member: "c", Weight: 1, Rate: 3}})
 	return machine
@@ -131,8 +131,8 @@
 	name := machine.pickEndpoint()
 	report, known := machine.reports[name]
 	if !known || machine.draw("reboot", 4) == 0 {
-		machine.boots++
-		report = EndpointReport{Name: name, Incarnation: fmt.Sprint(machine.boots), CacheTokens: 3000 * machine.draw("cache", 3)}
+		machine.incarnations++
+		report = EndpointReport{Name: name, Incarnation: fmt.Sprint(machine.incarnations), CacheTokens: 3000 * machine.draw("cache", 3)}
 	}
 	report.Slots = 1 + machine.draw("slots", 4)
 	report.Running = machine.draw("running", 6)
@@ -140,29 +140,29 @@
 	if machine.zones {
 		report.Zone = "z"
 	}
-	machine.tellReport(report)
+	machine.sendReport(report)
 }
 
-func (machine *machine) tellReport(report EndpointReport) {
-	for hold := range machine.holds {
-		if hold.endpoint == report.Name && hold.boot != report.Incarnation {
-			delete(machine.holds, hold)
+func (machine *machine) sendReport(report EndpointReport) {
+	for prefix := range machine.cached {
+		if prefix.endpoint == report.Name && prefix.incarnation != report.Incarnation {
+			delete(machine.cached, prefix)
 		}
 	}
 	if !machine.listed[report.Name] && machine.reports[report.Name].Incarnation == "" {
-		machine.name(report)
+		machine.assignIncarnation(report)
 	}
 	machine.reports[report.Name] = report
 	machine.listed[report.Name] = true
 	machine.pool.UpdateEndpoint(machine.now, report)
 }
 
-// name gives calls that were adopted before the endpoint was listed their
-// incarnation.
-func (machine *machine) name(report EndpointReport) {
+// assignIncarnation sets the incarnation of calls that were adopted before the endpoint
+// was listed.
+func (machine *machine) assignIncarnation(report EndpointReport) {
 	for _, flight := range machine.flights {
-		if flight.endpoint == report.Name && flight.boot == "" {
-			flight.boot = report.Incarnation
+		if flight.endpoint == report.Name && flight.incarnation == "" {
+			flight.incarnation = report.Incarnation
 		}
 	}
 }
@@ -190,14 +190,15 @@
 	return request
 }
 
-func (machine *machine) ask() {
+func (machine *machine) submit() {
 	request := machine.newRequest()
-	machine.asked[request.ID] = request
+	machine.submitted[request.ID] = request
 	machine.pool.Submit(machine.now, request)
 }
 
-// askAgain repeats the Ask of a call that is over, as a caller does.
-func (machine *machine) askAgain() {
+// resubmit repeats the Submit of a request whose call has ended, as a retrying caller
+// does.
+func (machine *machine) resubmit() {
 	keys := sortedKeys(machine.answers)
 	if len(keys) == 0 {
 		return
@@ -208,8 +209,8 @@
 	}
 	machine.answers[id] = 0
 	delete(machine.lapsed, id)
-	delete(machine.ended, machine.asked[id].Member+"/"+machine.asked[id].Program)
-	machine.pool.Submit(machine.now, machine.asked[id])
+	delete(machine.ended, machine.submitted[id].Member+"/"+machine.submitted[id].Program)
+	machine.pool.Submit(machine.now, machine.submitted[id])
 }
 
 func (machine *machine) withdraw() {
@@ -217,7 +218,7 @@
 		return
 	}
 	id := RequestID(machine.draw("withdrawn", int(machine.lastID))) + 1
-	if _, ok := machine.asked[id]; ok && machine.answers[id] == 0 {
+	if _, ok := machine.submitted[id]; ok && machine.answers[id] == 0 {
 		machine.answers[id]++
 	}
 	machine.pool.Withdraw(machine.now, id)
@@ -225,22 +226,22 @@
 
 func (machine *machine) adopt() {
 	request := machine.newRequest()
-	machine.asked[request.ID] = request
+	machine.submitted[request.ID] = request
 	machine.answers[request.ID] = 1
 	name := machine.pickEndpoint()
 	machine.pool.Adopt(machine.now, request, name)
-	machine.flights[request.ID] = &flight{Request: request, endpoint: name, boot: machine.reports[name].Incarnation}
+	machine.flights[request.ID] = &flight{Request: request, endpoint: name, incarnation: machine.reports[name].Incarnation}
 	machine.grants[request.ID]++
 }
 
-func (machine *machine) use() {
+func (machine *machine) markUsed() {
 	if used := machine.pickFlight(); used != nil {
 		used.expires = 0
 		machine.pool.MarkUsed(machine.now, used.ID)
 	}
 }
 
-func (machine *machine) useLate() {
+func (machine *machine) markUsedLate() {
 	keys := sortedKeys(machine.lapsed)
 	if len(keys) == 0 {
 		return
@@ -266,62 +267,64 @@
 		finish.Pause = -1
 		machine.ended[ended.Member+"/"+ended.Program] = true
 	}
-	hold := held{ended.endpoint, ended.boot, ended.Member, ended.Program}
+	prefix := cachedProgram{ended.endpoint, ended.incarnation, ended.Member, ended.Program}
 	switch outcome {
 	case Crashed:
-		machine.blame(ended)
+		machine.countCrash(ended)
 	case Succeeded:
-		if ended.alone {
-			delete(machine.crashes, keyOf(&ended.Request))
+		if ended.isolated {
+			delete(machine.crashes, suspectKeyOf(&ended.Request))
 		}
-		machine.holds[hold] = machine.reports[ended.endpoint].Incarnation == ended.boot
+		machine.cached[prefix] = machine.reports[ended.endpoint].Incarnation == ended.incarnation
 	}
-	if !machine.holds[hold] {
-		delete(machine.holds, hold)
+	if !machine.cached[prefix] {
+		delete(machine.cached, prefix)
 	}
 	machine.pool.Finish(machine.now, finish)
 }
 
-// blame is the oracle's rule: all in flight at the first report of a crash.
-func (machine *machine) blame(crashed *flight) {
-	if crashed.blamed {
+// countCrash is the oracle's rule: the first report of a crash counts against all calls
+// in flight.
+func (machine *machine) countCrash(crashed *flight) {
+	if crashed.crashCounted {
 		return
 	}
 	flights := []*flight{crashed}
 	for _, id := range sortedKeys(machine.flights) {
-		if other := machine.flights[id]; other.endpoint == crashed.endpoint && other.boot == crashed.boot {
+		if other := machine.flights[id]; other.endpoint == crashed.endpoint && other.incarnation == crashed.incarnation {
 			flights = append(flights, other)
 		}
 	}
 	for _, flight := range flights {
-		flight.blamed = true
+		flight.crashCounted = true
 		if flight.Fingerprint != 0 {
-			machine.crashes[keyOf(&flight.Request)]++
+			machine.crashes[suspectKeyOf(&flight.Request)]++
 		}
 	}
 }
 
-// crash fails everything on an endpoint and starts it anew, in either order.
+// crash fails the calls on an endpoint and restarts it. The new report precedes or
+// follows the failures.
 func (machine *machine) crash() {
 	name := machine.pickEndpoint()
 	report := machine.reports[name]
 	if !machine.listed[name] {
 		return
 	}
-	machine.boots++
-	report.Incarnation = fmt.Sprint(machine.boots)
+	machine.incarnations++
+	report.Incarnation = fmt.Sprint(machine.incarnations)
 	reportFirst := machine.draw("report first", 2) == 0
 	if reportFirst {
-		machine.tellReport(report)
+		machine.sendReport(report)
 	}
 	for _, id := range sortedKeys(machine.flights) {
 		lost := machine.flights[id]
-		if lost.endpoint == name && lost.boot != report.Incarnation && machine.draw("reported", 3) > 0 {
+		if lost.endpoint == name && lost.incarnation != report.Incarnation && machine.draw("reported", 3) > 0 {
 			machine.finishAs(lost, Crashed, false)
 		}
 	}
 	if !reportFirst {
-		machine.tellReport(report)
+		machine.sendReport(report)
 	}
 }
 
@@ -331,21 +334,21 @@
 	machine.pool.EndProgram(machine.now, member, program)
 }
 
-func (machine *machine) confirm() {
+func (machine *machine) confirmOne() {
 	if len(machine.releases) == 0 {
 		return
 	}
 	at := machine.draw("release", len(machine.releases))
-	machine.confirmed(machine.releases[at])
+	machine.confirmRelease(machine.releases[at])
 	machine.releases = slices.Delete(machine.releases, at, at+1)
 }
 
-func (machine *machine) confirmed(done Release) {
+func (machine *machine) confirmRelease(done Release) {
 	report := machine.reports[done.Endpoint]
 	if !machine.listed[done.Endpoint] {
 		return
 	}
-	delete(machine.holds, held{done.Endpoint, report.Incarnation, done.Member, done.Program})
+	delete(machine.cached, cachedProgram{done.Endpoint, report.Incarnation, done.Member, done.Program})
 	machine.pool.ConfirmRelease(machine.now, done.Endpoint, done.Member, done.Program)
 }
 
@@ -370,32 +373,32 @@
 	for _, effect := range machine.pool.Tick(machine.now) {
 		switch effect := effect.(type) {
 		case Grant:
-			machine.granted(effect)
+			machine.checkGrant(effect)
 		case Refusal:
-			machine.refused(effect)
+			machine.checkRefusal(effect)
 		case Release:
 			machine.releases = append(machine.releases, effect)
 		}
 	}
 }
 
-func (machine *machine) answer(id RequestID) {
+func (machine *machine) countAnswer(id RequestID) {
 	machine.answers[id]++
-	if _, ok := machine.asked[id]; !ok || machine.answers[id] > 1 {
+	if _, ok := machine.submitted[id]; !ok || machine.answers[id] > 1 {
 		machine.violate("request %d was answered %d times", id, machine.answers[id])
 	}
 }
 
-func (machine *machine) refused(refusal Refusal) {
-	machine.answer(refusal.Request)
-	if refusal.Err.Verdict() == bvverdict.NotRun && machine.grants[refusal.Request] > 0 && machine.asked[refusal.Request].Unrepeatable {
+func (machine *machine) checkRefusal(refusal Refusal) {
+	machine.countAnswer(refusal.Request)
+	if refusal.Err.Verdict() == bvverdict.NotRun && machine.grants[refusal.Request] > 0 && machine.submitted[refusal.Request].Unrepeatable {
 		machine.violate("request %d was granted and is refused as not run", refusal.Request)
 	}
 }
 
-func (machine *machine) granted(grant Grant) {
-	machine.answer(grant.Request)
-	request := machine.asked[grant.Request]
+func (machine *machine) checkGrant(grant Grant) {
+	machine.countAnswer(grant.Request)
+	request := machine.submitted[grant.Request]
 	report := machine.reports[grant.Endpoint]
 	if !machine.listed[grant.Endpoint] || report.Leaving {
 		machine.violate("request %d was granted to %s, which is leaving or gone", grant.Request, grant.Endpoint)
@@ -406,25 +409,25 @@
 	}
 	beside, sibling := 0, false
 	for _, other := range machine.flights {
-		if other.endpoint == grant.Endpoint && other.boot == report.Incarnation {
+		if other.endpoint == grant.Endpoint && other.incarnation == report.Incarnation {
 			beside++
-			if other.alone || grant.Isolated {
+			if other.isolated || grant.Isolated {
 				machine.violate("request %d runs beside suspect on %s", request.ID, grant.Endpoint)
 			}
 		}
-		sibling = sibling || keyOf(&other.Request) == keyOf(&request)
+		sibling = sibling || suspectKeyOf(&other.Request) == suspectKeyOf(&request)
 	}
 	if beside >= report.Slots {
 		machine.violate("%s has %d slots and is granted call %d", grant.Endpoint, report.Slots, beside+1)
 	}
-	machine.grantedSuspect(grant, request, sibling)
+	machine.checkSuspectGrant(grant, request, sibling)
 	machine.flights[request.ID] = &flight{
-		Request: request, endpoint: grant.Endpoint, boot: report.Incarnation, expires: grant.Expires, alone: grant.Isolated,
+		Request: request, endpoint: grant.Endpoint, incarnation: report.Incarnation, expires: grant.Expires, isolated: grant.Isolated,
 	}
 }
 
-func (machine *machine) grantedSuspect(grant Grant, request Request, sibling bool) {
-	crashes := machine.crashes[keyOf(&request)]
+func (machine *machine) checkSuspectGrant(grant Grant, request Request, sibling bool) {
+	crashes := machine.crashes[suspectKeyOf(&request)]
 	if request.Fingerprint == 0 || crashes == 0 {
 		return
 	}
@@ -432,28 +435,28 @@
 		machine.violate("suspect %d runs twice at once", request.ID)
 	}
 	if machine.zones {
-		return // a zone's failure pardons: suspect_test.go shows whom
+		return // a zone failure withdraws suspicions, which suspect_test.go covers
 	}
 	if !grant.Isolated {
 		machine.violate("suspect %d is not granted alone", request.ID)
 	}
-	if crashes >= poisonousAt {
+	if crashes >= poisonousCrashes {
 		machine.violate("poisonous request %d is granted", request.ID)
 	}
 }
 
-// settle heals everything and waits until nothing is left to do.
+// settle ends all faults and runs until no work is left.
 func (machine *machine) settle() {
 	machine.draw = func(string, int) int { return 0 }
-	machine.boots++
-	machine.tellReport(EndpointReport{Name: "healthy", Incarnation: fmt.Sprint(machine.boots), Slots: 4})
+	machine.incarnations++
+	machine.sendReport(EndpointReport{Name: "healthy", Incarnation: fmt.Sprint(machine.incarnations), Slots: 4})
 	for name, report := range machine.reports {
 		report.Leaving = false
 		machine.reports[name] = report
 	}
 	for _, name := range []string{"e1", "e2", "e3", "e4"} {
 		if machine.listed[name] {
-			machine.tellReport(machine.reports[name])
+			machine.sendReport(machine.reports[name])
 		}
 	}
 	for range 3000 {
@@ -463,7 +466,7 @@
 			machine.finishAs(machine.flights[id], Succeeded, false)
 		}
 		for _, done := range machine.releases {
-			machine.confirmed(done)
+			machine.confirmRelease(done)
 		}
 		machine.releases = nil
 		next := machine.pool.NextTick()
@@ -475,24 +478,24 @@
 		}
 		machine.now = max(machine.now+1, next)
 	}
-	for id := range machine.asked {
+	for id := range machine.submitted {
 		if machine.answers[id] == 0 {
 			machine.violate("request %d was never answered", id)
 		}
 	}
-	for hold := range machine.holds {
-		if machine.listed[hold.endpoint] && machine.ended[hold.member+"/"+hold.program] {
-			machine.violate("%s still caches ended program %s of %s", hold.endpoint, hold.program, hold.member)
+	for prefix := range machine.cached {
+		if machine.listed[prefix.endpoint] && machine.ended[prefix.member+"/"+prefix.program] {
+			machine.violate("%s still caches ended program %s of %s", prefix.endpoint, prefix.program, prefix.member)
 		}
 	}
 }
 
 func (machine *machine) actions() map[string]func(*rapid.T) {
 	actions := map[string]func(){
-		"report": machine.report, "remove": machine.remove, "ask": machine.ask, "ask2": machine.ask, "ask3": machine.ask,
-		"askAgain": machine.askAgain, "withdraw": machine.withdraw, "adopt": machine.adopt, "use": machine.use,
-		"use2": machine.use, "useLate": machine.useLate, "finish": machine.finish, "finish2": machine.finish,
-		"crash": machine.crash, "endProgram": machine.endProgram, "confirm": machine.confirm,
+		"report": machine.report, "remove": machine.remove, "ask": machine.submit, "ask2": machine.submit, "ask3": machine.submit,
+		"askAgain": machine.resubmit, "withdraw": machine.withdraw, "adopt": machine.adopt, "use": machine.markUsed,
+		"use2": machine.markUsed, "useLate": machine.markUsedLate, "finish": machine.finish, "finish2": machine.finish,
+		"crash": machine.crash, "endProgram": machine.endProgram, "confirm": machine.confirmOne,
 		"addSuspect": machine.addSuspect, "tick": machine.tick, "tick2": machine.tick, "wait": machine.wait,
 	}
 	drawn := make(map[string]func(*rapid.T))
@@ -510,8 +513,9 @@
 	return drawn
 }
 
-// promises runs the machine over a pool or a fake, with all oracles or one.
-func promises(only string, broken func(pool *Pool) decider) func(*rapid.T) {
+// checkInvariants runs the machine over a pool or a faultyPool, with all oracles or
+// one.
+func checkInvariants(only string, broken func(pool *Pool) decider) func(*rapid.T) {
 	return func(t *rapid.T) {
 		machine := newMachine(broken(&Pool{}), rapid.Bool().Draw(t, "zones"))
 		machine.only = only
@@ -523,6 +527,6 @@
 	}
 }
 
-func TestPoolKeepsItsPromisesUnderFailures(t *testing.T) {
-	rapid.Check(t, promises("", func(pool *Pool) decider { return pool }))
+func TestPoolKeepsItsInvariantsUnderFailures(t *testing.T) {
+	rapid.Check(t, checkInvariants("", func(pool *Pool) decider { return pool }))
 }
--- a/bvgate/member.go
+++ b/bvgate/member.go
@@ -8,39 +8,39 @@
 	"balsamvalve.example/bvclock"
 )
 
-// idleClaim is the share of the pool's work that a member which was idle may
-// claim back: that of this long. A larger claim would let a member that comes
-// back take all endpoints for a while; none at all would make a member that
-// asks now and then wait behind the calls of a flood.
-const idleClaim = 100 * bvclock.Millisecond
+// idleCredit is the work that an idle member may claim when it becomes active again, as
+// time at the pool's full rate. A larger credit would let a returning member take all
+// endpoints for a while; without any, a member with occasional requests would wait
+// behind the calls of a flood.
+const idleCredit = 100 * bvclock.Millisecond
 
 const defaultWeight = 1
 
-// member is a member's place in the sharing of the pool.
+// member is a member's scheduling state in the pool.
 type member struct {
-	name       string
-	share      MemberShare
-	queue      queue   // of programs under way
-	starts     queue   // of those that would begin
-	held       bool    // has only starts, which wait for memory
-	memory     float64 // that its programs need, in tokens
-	active     bool    // counted in pool.activeWeight
-	queued     int     // all waiting requests, also those that are not in queue
-	running    int
-	parkedWork Work // of requests that wait for one endpoint
-	// virtual is the work that was granted, divided by the weight. The member
-	// with the least goes first (start-time fair queueing).
-	virtual float64
-	index   int // in the heap of members, from 1; 0 when it may not be served
-	flow    flow
-	served  Work    // in all, for status
-	tokens  float64 // of the rate limit
-	refill  bvclock.Time
-	timer   timer // of the rate limit
-
-	suspicions []suspectKey // oldest first
-	retries    retries
-	away       away
+	name         string
+	share        MemberShare
+	queue        queue   // requests of running programs
+	newPrograms  queue   // first requests of programs
+	awaitsMemory bool    // has only new programs, which wait for memory
+	memory       float64 // needed by its programs, in tokens
+	active       bool    // counted in Pool.activeWeight
+	queued       int     // all waiting requests, including parked ones and suspects
+	running      int
+	parkedWork   Work // of parked requests
+	// virtualTime is the granted work divided by the weight. The member with the least
+	// is served first (start-time fair queueing).
+	virtualTime float64
+	index       int // in the heap of members, from 1; 0 if it can't be served now
+	grantRate   rateMeter
+	servedWork  Work    // total, for the status
+	rateTokens  float64 // of the rate limit
+	refilledAt  bvclock.Time
+	timer       timer // of the rate limit
+
+	suspicions  []suspectKey // oldest first
+	retryBudget retryBudget
+	retryQueue  retryQueue
 }
 
 func (member *member) weight() float64 {
@@ -55,8 +55,8 @@
 func (members memberHeap) Len() int { return len(members) }
 
 func (members memberHeap) Less(i, j int) bool {
-	if members[i].virtual != members[j].virtual {
-		return members[i].virtual < members[j].virtual
+	if members[i].virtualTime != members[j].virtualTime {
+		return members[i].virtualTime < members[j].virtualTime
 	}
 	return strings.Compare(members[i].name, members[j].name) < 0
 }
@@ -81,10 +81,10 @@
 	return last
 }
 
-// SetMembers replaces the shares of the members. A member without one has
-// weight 1 and no limits.
+// SetMembers replaces the shares of the members. A member without a share has weight 1
+// and no limits.
 func (pool *Pool) SetMembers(shares []MemberShare) {
-	for _, found := range pool.byName {
+	for _, found := range pool.membersByName {
 		found.share = MemberShare{Member: found.name}
 	}
 	for _, share := range shares {
@@ -92,7 +92,7 @@
 	}
 	pool.backloggedWeight = 0
 	pool.activeWeight = 0
-	for _, found := range pool.byName {
+	for _, found := range pool.membersByName {
 		if found.queued > 0 {
 			pool.backloggedWeight += found.weight()
 		}
@@ -102,7 +102,7 @@
 		if found.share.Rate > 0 && found.timer.index == 0 {
 			pool.setTimer(&found.timer, 1, found)
 		}
-		pool.place(found)
+		pool.updateBacklog(found)
 	}
 }
 
@@ -114,14 +114,15 @@
 	if found == nil {
 		found = &member{name: name, share: MemberShare{Member: name}}
 		pool.members[name] = found
-		at, _ := slices.BinarySearchFunc(pool.byName, name, compareMember)
-		pool.byName = slices.Insert(pool.byName, at, found)
+		at, _ := slices.BinarySearchFunc(pool.membersByName, name, compareMember)
+		pool.membersByName = slices.Insert(pool.membersByName, at, found)
 	}
 	return found
 }
 
-// activate counts the weight of the members that wait or run.
-func (pool *Pool) activate(changed *member) {
+// updateActive updates the total weight of the members with waiting or running
+// requests.
+func (pool *Pool) updateActive(changed *member) {
 	active := changed.queued+changed.running > 0
 	if active == changed.active {
 		return
@@ -138,102 +139,103 @@
 	return strings.Compare(member.name, name)
 }
 
-// place puts a member into the heap, moves it there or takes it out.
-func (pool *Pool) place(placed *member) {
+// updateBacklog adds a member to the heap, moves it there or removes it.
+func (pool *Pool) updateBacklog(changed *member) {
 	switch {
-	case placed.index == 0 && placed.servable():
-		heap.Push(&pool.backlog, placed)
-	case placed.index != 0 && !placed.servable():
-		heap.Remove(&pool.backlog, placed.index-1)
-	case placed.index != 0:
-		heap.Fix(&pool.backlog, placed.index-1)
+	case changed.index == 0 && changed.isServable():
+		heap.Push(&pool.backlog, changed)
+	case changed.index != 0 && !changed.isServable():
+		heap.Remove(&pool.backlog, changed.index-1)
+	case changed.index != 0:
+		heap.Fix(&pool.backlog, changed.index-1)
 	}
 }
 
-func (member *member) servable() bool {
-	return member.lines() > 0 && !member.held && !member.atConcurrency() && !member.atRate()
+func (member *member) isServable() bool {
+	return member.queueLen() > 0 && !member.awaitsMemory && !member.atConcurrencyLimit() && !member.atRateLimit()
 }
 
-func (member *member) atConcurrency() bool {
+func (member *member) atConcurrencyLimit() bool {
 	return member.share.Concurrency > 0 && member.running >= member.share.Concurrency
 }
 
-func (member *member) atRate() bool {
-	return member.share.Rate > 0 && member.tokens < 1
+func (member *member) atRateLimit() bool {
+	return member.share.Rate > 0 && member.rateTokens < 1
 }
 
-// enter counts a waiting request. A member that was idle resumes at most
-// idleClaim behind the others.
-func (pool *Pool) enter(now bvclock.Time, entered *member) {
-	entered.queued++
-	pool.activate(entered)
-	if entered.queued > 1 {
+// addWaiting counts a waiting request. A member that was idle resumes with at most
+// idleCredit over the others.
+func (pool *Pool) addWaiting(now bvclock.Time, added *member) {
+	added.queued++
+	pool.updateActive(added)
+	if added.queued > 1 {
 		return
 	}
-	entered.flow = flow{since: now, at: now}
-	entered.away.taken = flow{since: now, at: now}
-	pool.backloggedWeight += entered.weight()
-	pool.backloggedRunning += entered.running
-	entered.virtual = max(entered.virtual, pool.virtual-pool.claim())
+	added.grantRate = rateMeter{since: now, updatedAt: now}
+	added.retryQueue.admitted = rateMeter{since: now, updatedAt: now}
+	pool.backloggedWeight += added.weight()
+	pool.backloggedRunning += added.running
+	added.virtualTime = max(added.virtualTime, pool.virtualTime-pool.virtualTolerance())
 }
 
-func (pool *Pool) leave(left *member) {
-	left.queued--
-	pool.activate(left)
-	if left.queued > 0 {
+func (pool *Pool) removeWaiting(changed *member) {
+	changed.queued--
+	pool.updateActive(changed)
+	if changed.queued > 0 {
 		return
 	}
-	pool.backloggedWeight -= left.weight()
-	pool.backloggedRunning -= left.running
+	pool.backloggedWeight -= changed.weight()
+	pool.backloggedRunning -= changed.running
 }
 
-// claim is the lead in virtual time that counts as none.
-func (pool *Pool) claim() float64 {
-	return float64(pool.rate()) * float64(idleClaim) / max(pool.backloggedWeight, 1)
+// virtualTolerance is the difference in virtual time up to which members count as
+// equal.
+func (pool *Pool) virtualTolerance() float64 {
+	return float64(pool.rate()) * float64(idleCredit) / max(pool.backloggedWeight, 1)
 }
 
 func (pool *Pool) countRunning(counted *member, change int) {
 	counted.running += change
 	pool.runningTotal += change
-	pool.activate(counted)
+	pool.updateActive(counted)
 	if counted.queued > 0 {
 		pool.backloggedRunning += change
 	}
 }
 
-// charge adds work to what a member was granted; corrections may be negative.
+// charge adds work to a member's granted work; corrections may be negative.
 func (pool *Pool) charge(now bvclock.Time, charged *member, work Work) {
-	charged.flow.add(now, work)
-	charged.virtual += float64(work) / charged.weight()
-	charged.served += work
-	pool.place(charged)
+	charged.grantRate.add(now, work)
+	charged.virtualTime += float64(work) / charged.weight()
+	charged.servedWork += work
+	pool.updateBacklog(charged)
 }
 
-// takeRate takes the rate limit's token for a grant.
-func (pool *Pool) takeRate(now bvclock.Time, limited *member) {
+// takeRateToken takes a token of the rate limit for a grant.
+func (pool *Pool) takeRateToken(now bvclock.Time, limited *member) {
 	if limited.share.Rate <= 0 {
 		return
 	}
-	limited.tokens--
-	if limited.tokens >= 1 {
+	limited.rateTokens--
+	if limited.rateTokens >= 1 {
 		return
 	}
-	wait := bvclock.Duration((1-limited.tokens)/limited.share.Rate*float64(bvclock.Second)) + 1
+	wait := bvclock.Duration((1-limited.rateTokens)/limited.share.Rate*float64(bvclock.Second)) + 1
 	pool.setTimer(&limited.timer, now.Add(wait), limited)
 }
 
-// refillRate adds the tokens that the rate limit gave since the last time, of
-// a second at most.
-func (member *member) refillRate(now bvclock.Time) {
-	passed := float64(now.Sub(member.refill)) / float64(bvclock.Second)
-	member.tokens = min(member.tokens+passed*member.share.Rate, max(member.share.Rate, 1))
-	member.refill = now
+// refillRateTokens adds the rate limit's tokens since the last refill, up to those of
+// one second.
+func (member *member) refillRateTokens(now bvclock.Time) {
+	passed := float64(now.Sub(member.refilledAt)) / float64(bvclock.Second)
+	member.rateTokens = min(member.rateTokens+passed*member.share.Rate, max(member.share.Rate, 1))
+	member.refilledAt = now
 }
 
-func (member *member) ring(pool *Pool, now bvclock.Time) {
-	member.refillRate(now)
-	if member.atRate() {
+func (member *member) fire(pool *Pool, now bvclock.Time) {
+	member.refillRateTokens(now)
+	if member.atRateLimit() {
 		pool.setTimer(&member.timer, now.Add(1), member)
 	}
-	pool.place(member)
+	pool.updateBacklog(member)
 }
--- a/bvgate/memory.go
+++ b/bvgate/memory.go
@@ -7,98 +7,98 @@
 )
 
 const (
-	// startMemory is the part of the endpoints' memory up to which programs
-	// are begun; the member with the least virtual time may go to hardMemory.
+	// softMemoryPart is the part of the endpoints' memory up to which new programs are
+	// admitted; the member with the least virtual time may use up to hardMemoryPart.
 	//
-	// It guards against thrashing: with more programs under way than the
-	// caches hold, each turn evicts the history that another program needs
-	// next. It shows as engines that prefill the same tokens again and again.
-	startMemory = 0.6
-	hardMemory  = 1.2 * startMemory
-	// longPause is the pause from which on a program counts as away, and
-	// awayPart how much of its cache then counts as needed.
-	longPause = 5 * bvclock.Second
-	awayPart  = 0.3
+	// It guards against thrashing: with more running programs than the caches hold,
+	// each turn evicts the history that another program needs next, and engines prefill
+	// the same tokens again and again.
+	softMemoryPart = 0.6
+	hardMemoryPart = 1.2 * softMemoryPart
+	// minLongPause is the pause from which a program counts as paused, and
+	// pausedMemoryPart the part of its cache that then counts as needed.
+	minLongPause     = 5 * bvclock.Second
+	pausedMemoryPart = 0.3
 )
 
-// line is the queue that the request waits in.
-func (queued *request) line() *queue {
-	if queued.start {
-		return &queued.member.starts
+// memberQueue is the queue in which the request waits.
+func (queued *request) memberQueue() *queue {
+	if queued.newProgram {
+		return &queued.member.newPrograms
 	}
 	return &queued.member.queue
 }
 
-func (member *member) lines() int { return member.queue.len + member.starts.len }
+func (member *member) queueLen() int { return member.queue.len + member.newPrograms.len }
 
-// next returns the member's request that goes first, or nil if only starts
-// wait and there is no memory for one.
-func (pool *Pool) next(of *member) *request {
-	first, start := of.queue.first(), of.starts.first()
-	if start == nil || first != nil && first.before(start) {
-		return first
+// nextRequest returns the member's next request, or nil if only new programs wait and
+// there is no memory for one.
+func (pool *Pool) nextRequest(of *member) *request {
+	running, starting := of.queue.peek(), of.newPrograms.peek()
+	if starting == nil || running != nil && running.before(starting) {
+		return running
 	}
-	if pool.fits(start) {
-		return start
+	if pool.fitsMemory(starting) {
+		return starting
 	}
-	return first
+	return running
 }
 
-// fits reports whether the program of a start may begin: there is room in all
-// memory or, for the member with the least virtual time, in its share of it,
-// so that a rival's programs don't hold up those of a member that needs
-// little. Others would take the work of a member that waits for memory. A
-// member that runs nothing may always begin one.
-func (pool *Pool) fits(start *request) bool {
-	if pool.room == 0 || start.member.running == 0 {
+// fitsMemory reports whether a new program may start: it fits the total memory or, for
+// the member with the least virtual time, the member's share of it, so that a rival's
+// programs don't delay those of a member that needs little. While members wait for
+// memory, only the soft limit counts, or other members would take their work. A member
+// without running calls may always start one.
+func (pool *Pool) fitsMemory(first *request) bool {
+	if pool.cacheCapacity == 0 || first.member.running == 0 {
 		return true
 	}
-	need := float64(start.PromptTokens + start.OutputTokens)
-	if len(pool.held) > 0 {
-		return pool.memory+need <= startMemory*float64(pool.room)
+	need := float64(first.PromptTokens + first.OutputTokens)
+	if len(pool.awaitingMemory) > 0 {
+		return pool.memory+need <= softMemoryPart*float64(pool.cacheCapacity)
 	}
-	own := start.member
-	quota := startMemory * float64(pool.room) * own.weight() / pool.activeWeight
-	return pool.memory+need <= hardMemory*float64(pool.room) || own.memory+need <= quota
+	own := first.member
+	quota := softMemoryPart * float64(pool.cacheCapacity) * own.weight() / pool.activeWeight
+	return pool.memory+need <= hardMemoryPart*float64(pool.cacheCapacity) || own.memory+need <= quota
 }
 
-// hold leaves a member out until the next Tick.
-func (pool *Pool) hold(held *member) {
-	held.held = true
+// holdForMemory excludes a member until the next Tick.
+func (pool *Pool) holdForMemory(held *member) {
+	held.awaitsMemory = true
 	heap.Remove(&pool.backlog, held.index-1)
-	pool.held = append(pool.held, held)
+	pool.awaitingMemory = append(pool.awaitingMemory, held)
 }
 
-func (pool *Pool) unhold() {
-	held := pool.held
-	pool.held = nil
+func (pool *Pool) unholdAll() {
+	held := pool.awaitingMemory
+	pool.awaitingMemory = nil
 	for _, member := range held {
-		member.held = false
-		pool.place(member)
+		member.awaitsMemory = false
+		pool.updateBacklog(member)
 	}
 }
 
-// countMemory keeps the sum of what programs need.
+// countMemory updates the sums of the memory that programs need.
 func (pool *Pool) countMemory(changed *program) {
-	memory := changed.need()
+	memory := changed.memoryNeed()
 	pool.memory += memory - changed.memory
 	pool.member(changed.key.member).memory += memory - changed.memory
 	changed.memory = memory
 }
 
-// need is the memory in tokens that a program needs: its whole history while a
-// call of it waits or runs, whether an endpoint caches it or not, and what is
-// still cached of it in a pause.
-func (program *program) need() float64 {
-	if program.open > 0 {
-		return float64(program.history)
+// memoryNeed is the memory in tokens that a program needs: its whole history while it
+// has a waiting or running call, whether or not an endpoint caches it, and otherwise
+// the part that is still cached.
+func (program *program) memoryNeed() float64 {
+	if program.openRequests > 0 {
+		return float64(program.historyTokens)
 	}
 	cached := 0
-	for _, site := range program.sites {
-		cached += site.tokens
+	for _, prefix := range program.prefixes {
+		cached += prefix.tokens
 	}
-	if program.away {
-		return awayPart * float64(cached)
+	if program.paused {
+		return pausedMemoryPart * float64(cached)
 	}
 	return float64(cached)
 }
--- a/bvgate/absence_test.go
+++ b/bvgate/outage_test.go
@@ -8,8 +8,8 @@
 	"balsamvalve.example/bvverdict"
 )
 
-// Guards against a caller without a deadline who waits for ever for an engine.
-func TestRequestIsRefusedWhenNoEndpointComesBack(t *testing.T) {
+// Guards against a request without a deadline that waits indefinitely for an engine.
+func TestRequestIsRefusedWhenNoEndpointReturns(t *testing.T) {
 	pool := &Pool{}
 	pool.UpdateEndpoint(0, EndpointReport{Name: "engine-1", Slots: 1})
 	pool.Submit(0, Request{ID: 1, Member: "piran", Program: "p"})
--- a/bvgate/pool.go
+++ b/bvgate/pool.go
@@ -1,18 +1,17 @@
 // Package bvgate decides which request may call which endpoint, and when.
 //
-// A Pool holds the tables of one pool of endpoints that serve the same model:
-// members, endpoints, waiting requests, permits and suspects. One host decides
-// for a pool. The pool is told of events by its methods and asked for its
-// decisions by Tick; it knows no sockets and no clock, so the daemon, the
-// tests and the measurements run the same code.
+// A Pool holds the state of one pool of endpoints that serve the same model: members,
+// endpoints, waiting requests, permits and suspects. One host decides for a pool. Events
+// enter the pool by method calls, and Tick returns its decisions; it uses no sockets and
+// no clock, so the daemon, the tests and the measurements run the same code.
 //
-// What a Pool does: members share engine work by weight; within a member the
-// row's priority, the program's attained service and its age decide; the
-// endpoint with the earliest expected finish is taken, with a program's cached
-// prefix and the harm of a prefill to others counted in. What can't be served
-// in time is refused at once. Calls in flight at a crash run alone until they
-// are cleared or refused. The caches of ended programs are released until that
-// is confirmed. docs/design/sharing-and-endpoint-choice.md gives the reasons.
+// Scheduling works as follows. Members share engine work by weight; within a member the
+// row's priority, the program's attained service and its age decide. A request gets the
+// endpoint with the earliest expected finish, which accounts for a program's cached
+// prefix and for the delay that a prefill causes to other calls. Requests that can't be
+// served in time are refused at once. Calls in flight at a crash run isolated until they
+// are cleared or refused. The caches of ended programs are released until the endpoint
+// confirms it. docs/design/sharing-and-endpoint-choice.md gives the reasons.
 //
 // # Usage
 //
@@ -23,20 +22,19 @@
 //	for _, effect := range pool.Tick(now) {
 //		switch effect := effect.(type) {
 //		case bvgate.Grant:
-//			// tell the owner, which calls effect.Endpoint with effect.Priority
+//			// notify the owner, which calls effect.Endpoint with effect.Priority
 //		case bvgate.Refusal:
-//			// tell the owner
+//			// notify the owner
 //		case bvgate.Release:
-//			// tell the endpoint, and then pool.ConfirmRelease
+//			// send it to the endpoint, then call pool.ConfirmRelease
 //		}
 //	}
 //	pool.MarkUsed(now, request.ID)
 //	pool.Finish(now, bvgate.Finish{ID: request.ID, PromptTokens: 900, OutputTokens: 120, Pause: 300})
 //
-// Tick is called after each event and at the time that NextTick returns. A host
-// that begins to decide for a pool is told of running calls with Adopt, of
-// ended programs with EndProgramAt and of suspects with AddSuspects; waiting
-// requests are asked again.
+// Call Tick after each event and at the time that NextTick returns. A host that starts to
+// decide for a pool adds running calls with Adopt, ended programs with EndProgramAt and
+// suspects with AddSuspects; waiting requests are submitted again.
 package bvgate
 
 import (
@@ -49,50 +47,50 @@
 // Pool decides for all endpoints of one model or service. The zero value is an
 // empty pool. It is not safe for concurrent use.
 type Pool struct {
-	cost      Cost
-	limits    Limits
-	now       bvclock.Time // of the last Tick
-	members   map[string]*member
-	byName    []*member
-	endpoints map[string]*endpoint
-	names     []string // of the endpoints, sorted
-	programs  map[programKey]*program
-	waiting   map[RequestID]*request
-	calls     map[RequestID]*call
+	cost          Cost
+	limits        Limits
+	now           bvclock.Time // of the last Tick
+	members       map[string]*member
+	membersByName []*member
+	endpoints     map[string]*endpoint
+	endpointNames []string // sorted
+	programs      map[programKey]*program
+	waiting       map[RequestID]*request
+	calls         map[RequestID]*call
 
-	already      map[RequestID]bvclock.Time // unrepeatable requests granted
-	alreadyOrder []RequestID
+	unrepeatableGrants map[RequestID]bvclock.Time // time of each grant
+	unrepeatableOrder  []RequestID
 
-	backlog memberHeap   // members that may be served
-	free    endpointHeap // endpoints with a free slot
-	woken   []*endpoint  // with a free slot and parked requests
-	timers  timerHeap
+	backlog       memberHeap   // members that can be served
+	freeEndpoints endpointHeap // endpoints with a free slot
+	woken         []*endpoint  // have a free slot and parked requests
+	timers        timerHeap
 
 	suspicions map[suspectKey]*suspicion
-	// suspectedCrashes counts the crashes seen here that made suspects.
-	suspectedCrashes uint64
-	flights          map[suspectKey]int // calls in flight by content
-	zones            map[string]*zone
-	suspects         []*request  // that wait for an endpoint to isolate
-	isolated         []*endpoint // that are emptied for a suspect
+	// suspectCrashes counts the crashes on endpoints of this pool that made suspects.
+	suspectCrashes  uint64
+	inFlight        map[suspectKey]int // calls, by content
+	zones           map[string]*zone
+	waitingSuspects []*request  // wait for an endpoint to isolate
+	isolating       []*endpoint // drained for a suspect
 
-	absence absence
+	outage outage
 
-	order   uint64
-	effects []Effect
+	sequence uint64
+	effects  []Effect
 
-	virtual           float64   // highest virtual time at which a member was served
+	virtualTime       float64   // highest virtual time of a member when it was served
 	slots             int       // of all open endpoints
-	memory            float64   // that running calls and programs need, in tokens
-	room              int       // cache of all open endpoints, in tokens
-	held              []*member // whose starts wait for memory
+	memory            float64   // needed by programs, in tokens
+	cacheCapacity     int       // cache of all open endpoints, in tokens
+	awaitingMemory    []*member // only new programs, which wait for memory
 	backloggedWeight  float64
-	activeWeight      float64 // of the members that wait or run
+	activeWeight      float64 // of the members with waiting or running requests
 	backloggedRunning int
 	runningTotal      int
-	work              average // of a call
-	duration          average // of a call, in milliseconds
-	outputs           map[outputKey]*average
+	averageWork       average // of a call
+	averageDuration   average // of a call, in milliseconds
+	averageOutputs    map[outputKey]*average
 }
 
 type outputKey struct {
@@ -100,63 +98,63 @@
 	class  string
 }
 
-// SetCost replaces the constants that turn tokens into work and time.
+// SetCost replaces the constants that convert tokens into work and time.
 func (pool *Pool) SetCost(cost Cost) {
 	pool.cost = cost
 }
 
-// Submit queues a request; a later Tick grants or refuses it. A request that is
-// already queued or granted is left as it is.
-func (pool *Pool) Submit(now bvclock.Time, asked Request) {
-	if pool.waiting[asked.ID] != nil || pool.running(asked.ID) {
+// Submit queues a request; a later Tick grants or refuses it. It has no effect for a
+// request that is already queued or granted.
+func (pool *Pool) Submit(now bvclock.Time, submitted Request) {
+	if pool.waiting[submitted.ID] != nil || pool.isRunning(submitted.ID) {
 		return
 	}
-	if _, ok := pool.already[asked.ID]; ok {
-		// The owner may have sent the request on the first permit: a second
-		// one could make it run twice.
+	if _, ok := pool.unrepeatableGrants[submitted.ID]; ok {
+		// The owner may have sent the request under the first permit: a second permit
+		// could make it run twice.
 		err := bvverdict.New(bvverdict.MayHaveRun, bvverdict.AlreadySent, "unrepeatable request was granted before")
-		pool.refuse(asked.ID, err)
+		pool.refuse(submitted.ID, err)
 		return
 	}
-	if lapsed := pool.calls[asked.ID]; lapsed != nil {
-		pool.drop(now, lapsed, lapsed.cached)
+	if lapsed := pool.calls[submitted.ID]; lapsed != nil {
+		pool.dropCall(now, lapsed, lapsed.cachedTokens)
 	}
-	if pool.poisonous(&asked) {
-		pool.refuse(asked.ID, errPoisonous())
+	if pool.isPoisonous(&submitted) {
+		pool.refuse(submitted.ID, errPoisonous())
 		return
 	}
-	queued := pool.newRequest(now, asked)
-	pool.allow(now, queued.member)
+	queued := pool.newRequest(now, submitted)
+	pool.refreshRateLimit(now, queued.member)
 	if err := pool.reject(now, queued); err != nil {
-		pool.refuse(asked.ID, err)
-		pool.dropProgram(queued.program)
+		pool.refuse(submitted.ID, err)
+		pool.cleanUpProgram(queued.program)
 		return
 	}
 	pool.enqueue(now, queued)
 }
 
-func (pool *Pool) running(id RequestID) bool {
+func (pool *Pool) isRunning(id RequestID) bool {
 	found := pool.calls[id]
 	return found != nil && !found.lapsed
 }
 
-func (pool *Pool) newRequest(now bvclock.Time, asked Request) *request {
-	pool.order++
+func (pool *Pool) newRequest(now bvclock.Time, submitted Request) *request {
+	pool.sequence++
 	queued := &request{
-		Request: asked,
-		member:  pool.member(asked.Member),
-		program: pool.program(now, asked.Member, asked.Program),
-		askedAt: now,
-		order:   pool.order,
+		Request:     submitted,
+		member:      pool.member(submitted.Member),
+		program:     pool.program(now, submitted.Member, submitted.Program),
+		submittedAt: now,
+		sequence:    pool.sequence,
 	}
 	if queued.OutputTokens == 0 {
-		queued.OutputTokens = pool.expectOutput(&asked)
+		queued.OutputTokens = pool.expectedOutput(&submitted)
 	}
 	pool.learnHistory(queued)
-	queued.estimate = pool.cost.Work(asked.PromptTokens-queued.program.cachedTokens(), queued.OutputTokens)
-	queued.level = level(asked.AttainedService)
-	queued.start = queued.starts()
-	queued.repeated = pool.repeats(now, &asked)
+	queued.estimate = pool.cost.Work(submitted.PromptTokens-queued.program.cachedTokens(), queued.OutputTokens)
+	queued.level = levelOf(submitted.AttainedService)
+	queued.newProgram = queued.isNewProgram()
+	queued.retry = pool.isRetry(now, &submitted)
 	return queued
 }
 
@@ -165,40 +163,40 @@
 		pool.waiting = make(map[RequestID]*request)
 	}
 	pool.waiting[queued.ID] = queued
-	queued.program.open++
+	queued.program.openRequests++
 	pool.stopTimer(&queued.program.timer)
 	pool.countMemory(queued.program)
-	pool.enter(now, queued.member)
-	if queued.start {
-		queued.member.away.taken.add(now, 1)
+	pool.addWaiting(now, queued.member)
+	if queued.newProgram {
+		queued.member.retryQueue.admitted.add(now, 1)
 	}
-	queued.line().add(queued)
-	pool.place(queued.member)
+	queued.memberQueue().add(queued)
+	pool.updateBacklog(queued.member)
 	queued.agesAt = now.Add(ageStep)
-	if pool.suspicion(&queued.Request) != nil {
-		pool.setAside(queued)
+	if pool.suspicionOf(&queued.Request) != nil {
+		pool.queueSuspect(queued)
 		return
 	}
-	pool.watch(queued)
+	pool.updateTimer(queued)
 }
 
-// watch sets the timer of a waiting request to what comes first.
-func (pool *Pool) watch(watched *request) {
-	at := watched.Deadline
-	if watched.level > 0 && (at == 0 || watched.agesAt.Before(at)) {
-		at = watched.agesAt
+// updateTimer sets the timer of a waiting request to its next deadline.
+func (pool *Pool) updateTimer(queued *request) {
+	at := queued.Deadline
+	if queued.level > 0 && (at == 0 || queued.agesAt.Before(at)) {
+		at = queued.agesAt
 	}
-	if watched.parkedUntil != 0 && (at == 0 || watched.parkedUntil.Before(at)) {
-		at = watched.parkedUntil
+	if queued.parkedUntil != 0 && (at == 0 || queued.parkedUntil.Before(at)) {
+		at = queued.parkedUntil
 	}
 	if at == 0 {
-		pool.stopTimer(&watched.timer)
+		pool.stopTimer(&queued.timer)
 		return
 	}
-	pool.setTimer(&watched.timer, at, watched)
+	pool.setTimer(&queued.timer, at, queued)
 }
 
-func (queued *request) ring(pool *Pool, now bvclock.Time) {
+func (queued *request) fire(pool *Pool, now bvclock.Time) {
 	if queued.Deadline != 0 && !queued.Deadline.After(now) {
 		pool.dequeue(queued)
 		pool.refuse(queued.ID, bvverdict.Refuse(bvverdict.DeadlinePassed, "deadline passed in the queue"))
@@ -208,20 +206,20 @@
 		pool.unpark(queued)
 	}
 	if queued.level > 0 && !queued.agesAt.After(now) {
-		pool.age(now, queued)
+		pool.lowerLevel(now, queued)
 	}
-	pool.watch(queued)
+	pool.updateTimer(queued)
 }
 
-func (pool *Pool) age(now bvclock.Time, aged *request) {
+func (pool *Pool) lowerLevel(now bvclock.Time, aged *request) {
 	inQueue := aged.bucket != nil
 	if inQueue {
-		aged.line().remove(aged)
+		aged.memberQueue().remove(aged)
 	}
 	aged.level--
 	aged.agesAt = now.Add(ageStep)
 	if inQueue {
-		aged.line().add(aged)
+		aged.memberQueue().add(aged)
 	}
 }
 
@@ -229,7 +227,7 @@
 	pool.effects = append(pool.effects, Refusal{Request: id, Err: err})
 }
 
-// Withdraw takes back a request that was not granted.
+// Withdraw removes a request that has not been granted.
 func (pool *Pool) Withdraw(_ bvclock.Time, id RequestID) {
 	if queued := pool.waiting[id]; queued != nil {
 		pool.dequeue(queued)
@@ -242,43 +240,43 @@
 }
 
 func (pool *Pool) dequeue(queued *request) {
-	pool.take(queued)
-	queued.program.open--
-	pool.dropProgram(queued.program)
+	pool.removeRequest(queued)
+	queued.program.openRequests--
+	pool.cleanUpProgram(queued.program)
 }
 
-// take removes a waiting request and leaves its program open.
-func (pool *Pool) take(queued *request) {
+// removeRequest removes a waiting request without closing its program.
+func (pool *Pool) removeRequest(queued *request) {
 	delete(pool.waiting, queued.ID)
 	if len(pool.waiting) == 0 {
-		pool.stopTimer(&pool.absence.timer)
+		pool.stopTimer(&pool.outage.timer)
 	}
 	pool.stopTimer(&queued.timer)
 	if queued.parkedAt != nil {
 		queued.parkedAt.unpark(queued)
 	}
 	if queued.bucket != nil {
-		queued.line().remove(queued)
+		queued.memberQueue().remove(queued)
 	}
-	if queued.aside {
-		queued.aside = false
-		pool.suspects = slices.DeleteFunc(pool.suspects, func(other *request) bool { return other == queued })
+	if queued.queuedAsSuspect {
+		queued.queuedAsSuspect = false
+		pool.waitingSuspects = slices.DeleteFunc(pool.waitingSuspects, func(other *request) bool { return other == queued })
 	}
-	if queued.isolates != nil {
+	if queued.isolating != nil {
 		pool.unisolate(queued)
 	}
-	pool.leave(queued.member)
-	pool.place(queued.member)
+	pool.removeWaiting(queued.member)
+	pool.updateBacklog(queued.member)
 }
 
-// Tick decides and returns what is to be done. It is called after each event
-// and at the time that NextTick returns.
+// Tick makes the pending decisions and returns the actions to carry out. Call it after
+// each event and at the time that NextTick returns.
 func (pool *Pool) Tick(now bvclock.Time) []Effect {
 	pool.now = now
-	pool.ringTimers(now)
-	pool.refuseStranded(now)
-	pool.unhold()
-	for pool.serveSuspects(now) || pool.serveWoken(now) || pool.serveQueue(now) {
+	pool.fireTimers(now)
+	pool.refuseDuringOutage(now)
+	pool.unholdAll()
+	for pool.serveSuspects(now) || pool.serveParked(now) || pool.serveQueue(now) {
 		continue
 	}
 	effects := pool.effects
@@ -286,8 +284,7 @@
 	return effects
 }
 
-// NextTick returns when Tick is to be called although nothing happens; 0 means
-// never.
+// NextTick returns when Tick must be called without a further event; 0 means never.
 func (pool *Pool) NextTick() bvclock.Time {
 	if len(pool.timers) == 0 {
 		return 0
@@ -295,19 +292,19 @@
 	return max(pool.timers[0].at, 1)
 }
 
-// serveQueue grants or parks the requests that go first, as long as endpoints
-// have free slots. It reports whether more may be done: a request was granted
-// or turned out to be a suspect.
+// serveQueue grants or parks the next requests while endpoints have free slots. It
+// reports whether another pass may grant more: a request was granted or turned out to
+// be a suspect.
 func (pool *Pool) serveQueue(now bvclock.Time) bool {
 	served := false
-	for len(pool.backlog) > 0 && len(pool.free) > 0 {
-		first := pool.next(pool.backlog[0])
+	for len(pool.backlog) > 0 && len(pool.freeEndpoints) > 0 {
+		first := pool.nextRequest(pool.backlog[0])
 		if first == nil {
-			pool.hold(pool.backlog[0])
+			pool.holdForMemory(pool.backlog[0])
 			continue
 		}
-		if pool.suspicion(&first.Request) != nil {
-			pool.setAside(first)
+		if pool.suspicionOf(&first.Request) != nil {
+			pool.queueSuspect(first)
 			served = true
 			continue
 		}
@@ -322,27 +319,27 @@
 	return served
 }
 
-func (pool *Pool) grant(now bvclock.Time, granted *request, at choice) {
+func (pool *Pool) grant(now bvclock.Time, granted *request, chosen choice) {
 	from := granted.member
-	pool.virtual = max(pool.virtual, from.virtual)
-	pool.takeRate(now, from)
-	pool.take(granted)
-	begun := &call{
-		request:  granted.Request,
-		member:   from,
-		program:  granted.program,
-		boot:     at.endpoint.boot,
-		cached:   at.cached,
-		memory:   granted.PromptTokens + granted.OutputTokens,
-		expected: at.service,
-		alone:    at.alone,
-		repeated: granted.repeated,
+	pool.virtualTime = max(pool.virtualTime, from.virtualTime)
+	pool.takeRateToken(now, from)
+	pool.removeRequest(granted)
+	started := &call{
+		request:      granted.Request,
+		member:       from,
+		program:      granted.program,
+		incarnation:  chosen.endpoint.incarnation,
+		cachedTokens: chosen.cachedTokens,
+		memory:       granted.PromptTokens + granted.OutputTokens,
+		expectedMs:   chosen.service,
+		isolated:     chosen.isolated,
+		retry:        granted.retry,
 	}
-	begun.estimate = pool.cost.Work(granted.PromptTokens-at.cached, granted.OutputTokens) * begun.occupied()
-	at.endpoint.prefillUntil = max(at.endpoint.prefillUntil, float64(now)) + pool.cost.prefillTime(granted.PromptTokens-at.cached)
-	pool.account(granted, begun.estimate)
-	pool.begin(now, begun)
+	started.estimate = pool.cost.Work(granted.PromptTokens-chosen.cachedTokens, granted.OutputTokens) * started.slots()
+	chosen.endpoint.prefillUntil = max(chosen.endpoint.prefillUntil, float64(now)) + pool.cost.prefillTime(granted.PromptTokens-chosen.cachedTokens)
+	pool.chargeRetryBudget(granted, started.estimate)
+	pool.startCall(now, started)
 	expires := now.Add(PermitWindow)
-	pool.setTimer(&begun.timer, expires, begun)
-	pool.effects = append(pool.effects, Grant{Request: granted.ID, Endpoint: at.endpoint.name(), Isolated: at.alone, Priority: priority(granted.PromptTokens - at.cached), Expires: expires})
+	pool.setTimer(&started.timer, expires, started)
+	pool.effects = append(pool.effects, Grant{Request: granted.ID, Endpoint: chosen.endpoint.name(), Isolated: chosen.isolated, Priority: enginePriority(granted.PromptTokens - chosen.cachedTokens), Expires: expires})
 }
--- a/bvgate/pool_test.go
+++ b/bvgate/pool_test.go
@@ -10,17 +10,17 @@
 )
 
 func TestUnusedPermitLapsesAndItsSlotIsGrantedAgain(t *testing.T) {
-	// An owner dies right after it was granted the only slot. The next caller
-	// must not wait for ever: the permit lapses, and its slot is granted again.
+	// An owner crashes right after it was granted the only slot. The next caller must
+	// not wait indefinitely: the permit lapses, and its slot is granted again.
 	pool := &Pool{}
 	pool.UpdateEndpoint(0, EndpointReport{Name: "a", Slots: 1})
 	pool.Submit(0, Request{ID: 1, Member: "m"})
 	pool.Submit(0, Request{ID: 2, Member: "m"})
-	require.Equal(t, []Effect{Grant{Request: 1, Endpoint: "a", Priority: highestPriority, Expires: bvclock.Time(PermitWindow)}}, pool.Tick(0))
+	require.Equal(t, []Effect{Grant{Request: 1, Endpoint: "a", Priority: maxEnginePriority, Expires: bvclock.Time(PermitWindow)}}, pool.Tick(0))
 
 	lapse := bvclock.Time(PermitWindow)
 	require.Equal(t, lapse, pool.NextTick())
-	require.Equal(t, []Effect{Grant{Request: 2, Endpoint: "a", Priority: highestPriority, Expires: lapse.Add(PermitWindow)}}, pool.Tick(lapse))
+	require.Equal(t, []Effect{Grant{Request: 2, Endpoint: "a", Priority: maxEnginePriority, Expires: lapse.Add(PermitWindow)}}, pool.Tick(lapse))
 }
 
 func TestUsedPermitDoesNotLapse(t *testing.T) {
@@ -32,23 +32,23 @@
 	now := bvclock.Time(0)
 	for now.Before(bvclock.Time(bvclock.Hour)) {
 		require.True(t, pool.MarkUsed(now, 1))
-		now = now.Add(callWindow - 1)
+		now = now.Add(callTTL - 1)
 		require.Empty(t, pool.Tick(now))
 	}
 	pool.Finish(now, Finish{ID: 1})
 	require.Len(t, pool.Tick(now), 1)
 }
 
-func TestSlotOfADeadOwnerIsFreeAgain(t *testing.T) {
-	// An owner dies in mid-call, so nobody reports the call's end. Without a
-	// bound the engine would have one slot less for good.
+func TestSlotOfACrashedOwnerIsFreedAgain(t *testing.T) {
+	// An owner crashes during a call, so the end of the call is never reported. Without
+	// a bound the engine would have one slot less permanently.
 	pool := &Pool{}
 	pool.UpdateEndpoint(0, EndpointReport{Name: "a", Slots: 1})
 	pool.Submit(0, Request{ID: 1, Member: "m"})
 	pool.Submit(0, Request{ID: 2, Member: "m"})
 	pool.Tick(0)
 	pool.MarkUsed(0, 1)
-	require.Len(t, pool.Tick(bvclock.Time(callWindow)), 1)
+	require.Len(t, pool.Tick(bvclock.Time(callTTL)), 1)
 }
 
 func TestRequestIsRefusedAtItsDeadline(t *testing.T) {
--- a/bvgate/program.go
+++ b/bvgate/program.go
@@ -2,53 +2,53 @@
 
 import "balsamvalve.example/bvclock"
 
-// releaseInterval is how often a Release is repeated until it is confirmed.
-const releaseInterval = bvclock.Second
+// releaseRetryInterval is how often a Release is repeated until it is confirmed.
+const releaseRetryInterval = bvclock.Second
 
-// programKept is how long a program without calls is remembered.
-const programKept = bvclock.Hour
+// programTTL is how long a program without calls is remembered.
+const programTTL = bvclock.Hour
 
 type programKey struct {
 	member string
 	name   string
 }
 
-// program is what the pool knows of a program that waits, runs or is cached.
+// program is the state of a program that waits, runs or is cached.
 type program struct {
-	key     programKey
-	firstAt bvclock.Time // of its first request that the pool saw
-	open    int          // requests that wait or run
-	ended   bool
-	away    bool    // pauses for long
-	history int     // tokens, of its last call
-	memory  float64 // counted in pool.memory
-	sites   []*site
-	timer   timer // set while no call of it waits or runs
-}
-
-// ring releases a program that nobody asked for in a long time. Its owner and
-// caller may have died: it shows as cache that is held for good, and as a row
-// that never goes. If it comes back, its history is prefilled again.
-func (program *program) ring(pool *Pool, now bvclock.Time) {
-	for _, site := range program.sites {
-		pool.release(now, site)
-	}
-}
-
-// site is an endpoint that ran a program, and what it is thought to cache of
-// it. It is kept after an eviction too, because the endpoint may still hold
-// what this model takes for evicted: an ended program is released everywhere.
-type site struct {
+	key           programKey
+	firstSeen     bvclock.Time // arrival of its first request in this pool
+	openRequests  int          // waiting or running
+	ended         bool
+	paused        bool    // for at least minLongPause
+	historyTokens int     // tokens of its last call
+	memory        float64 // counted in Pool.memory
+	prefixes      []*cachedPrefix
+	timer         timer // set while no call waits or runs
+}
+
+// fire releases a program that has had no requests for programTTL. Its owner and caller
+// may have crashed, and its cache and state would be retained permanently. If the
+// program resumes, its history is prefilled again.
+func (program *program) fire(pool *Pool, now bvclock.Time) {
+	for _, prefix := range program.prefixes {
+		pool.releasePrefix(now, prefix)
+	}
+}
+
+// cachedPrefix is the estimated copy of a program's prefix on an endpoint that ran the
+// program. It is retained after an eviction, because the endpoint may still hold what
+// this model assumes evicted: an ended program is released everywhere.
+type cachedPrefix struct {
 	program  *program
 	endpoint *endpoint
 	tokens   int
-	pins     int // calls that run here
+	pins     int // calls that use it
 	usedAt   bvclock.Time
-	previous *site // in the endpoint's cache, from the least recently used
-	next     *site
-	cached   bool // is in the endpoint's cache list
+	previous *cachedPrefix // in the endpoint's eviction list, from the least recently used
+	next     *cachedPrefix
+	inCache  bool // is in the endpoint's eviction list
 
-	timer timer // set while a Release is not confirmed
+	timer timer // set while a Release is unconfirmed
 }
 
 func (pool *Pool) program(now bvclock.Time, member, name string) *program {
@@ -57,7 +57,7 @@
 	if found != nil {
 		return found
 	}
-	found = &program{key: key, firstAt: now}
+	found = &program{key: key, firstSeen: now}
 	if name == "" {
 		return found
 	}
@@ -68,136 +68,136 @@
 	return found
 }
 
-func (program *program) site(at *endpoint) *site {
-	for _, site := range program.sites {
-		if site.endpoint == at {
-			return site
+func (program *program) prefixAt(target *endpoint) *cachedPrefix {
+	for _, prefix := range program.prefixes {
+		if prefix.endpoint == target {
+			return prefix
 		}
 	}
 	return nil
 }
 
-// visit returns the program's site at an endpoint, a new one if need be.
-func (program *program) visit(at *endpoint) *site {
-	found := program.site(at)
+// addPrefix returns the program's prefix on an endpoint, and adds it if needed.
+func (program *program) addPrefix(target *endpoint) *cachedPrefix {
+	found := program.prefixAt(target)
 	if found == nil {
-		found = &site{program: program, endpoint: at}
-		program.sites = append(program.sites, found)
-		at.visit(found)
+		found = &cachedPrefix{program: program, endpoint: target}
+		program.prefixes = append(program.prefixes, found)
+		target.addPrefix(found)
 	}
 	return found
 }
 
-// forget drops a site, and the program with its last one.
-func (pool *Pool) forget(gone *site) {
-	pool.stopTimer(&gone.timer)
-	gone.endpoint.cache.remove(gone)
-	delete(gone.endpoint.sites, gone.program.key)
-	kept := gone.program.sites[:0]
-	for _, site := range gone.program.sites {
-		if site != gone {
-			kept = append(kept, site)
+// forgetPrefix deletes a prefix, and the program with its last one.
+func (pool *Pool) forgetPrefix(forgotten *cachedPrefix) {
+	pool.stopTimer(&forgotten.timer)
+	forgotten.endpoint.cache.remove(forgotten)
+	delete(forgotten.endpoint.prefixes, forgotten.program.key)
+	kept := forgotten.program.prefixes[:0]
+	for _, prefix := range forgotten.program.prefixes {
+		if prefix != forgotten {
+			kept = append(kept, prefix)
 		}
 	}
-	gone.program.sites = kept
-	pool.dropProgram(gone.program)
+	forgotten.program.prefixes = kept
+	pool.cleanUpProgram(forgotten.program)
 }
 
-func (pool *Pool) dropProgram(dropped *program) {
+func (pool *Pool) cleanUpProgram(dropped *program) {
 	pool.countMemory(dropped)
-	if dropped.open == 0 && len(dropped.sites) > 0 && !dropped.ended {
-		pool.setTimer(&dropped.timer, pool.now.Add(programKept), dropped)
+	if dropped.openRequests == 0 && len(dropped.prefixes) > 0 && !dropped.ended {
+		pool.setTimer(&dropped.timer, pool.now.Add(programTTL), dropped)
 	}
-	if dropped.open == 0 && len(dropped.sites) == 0 {
+	if dropped.openRequests == 0 && len(dropped.prefixes) == 0 {
 		pool.stopTimer(&dropped.timer)
 		delete(pool.programs, dropped.key)
 	}
 }
 
-// cachedTokens is the longest prefix that an endpoint caches.
+// cachedTokens is the length of the longest prefix that an endpoint caches.
 func (program *program) cachedTokens() int {
 	cached := 0
-	for _, site := range program.sites {
-		cached = max(cached, site.tokens)
+	for _, prefix := range program.prefixes {
+		cached = max(cached, prefix.tokens)
 	}
 	return cached
 }
 
-// learnHistory takes over where the program's last turn ran, as its owner
-// knows: a host that has just begun to decide for the pool does not.
+// learnHistory records where the program's last turn ran, as its owner reports it. A
+// host that has just started to decide for the pool does not know it.
 func (pool *Pool) learnHistory(queued *request) {
-	at := pool.endpoints[queued.HistoryEndpoint]
-	if at == nil || at.gone || len(queued.program.sites) > 0 || queued.program.key.name == "" {
+	target := pool.endpoints[queued.HistoryEndpoint]
+	if target == nil || target.removed || len(queued.program.prefixes) > 0 || queued.program.key.name == "" {
 		return
 	}
-	site := queued.program.visit(at)
-	site.tokens = min(queued.HistoryTokens, at.report.CacheTokens)
-	at.cache.add(queued.askedAt, site)
-	pool.shrink(queued.askedAt, at)
-	pool.seat(at)
+	prefix := queued.program.addPrefix(target)
+	prefix.tokens = min(queued.HistoryTokens, target.report.CacheTokens)
+	target.cache.add(queued.submittedAt, prefix)
+	pool.evict(queued.submittedAt, target)
+	pool.refreshEndpoint(target)
 }
 
-// EndProgram releases what endpoints cache for a program that has ended.
+// EndProgram releases the cached prefixes of a program that has ended.
 func (pool *Pool) EndProgram(now bvclock.Time, member, program string) {
 	ended := pool.programs[programKey{member: member, name: program}]
 	if ended == nil {
 		return
 	}
 	ended.ended = true
-	for _, site := range ended.sites {
-		pool.release(now, site)
+	for _, prefix := range ended.prefixes {
+		pool.releasePrefix(now, prefix)
 	}
 }
 
-// EndProgramAt is EndProgram for a program that may have run on the given
-// endpoints before this pool knew of it: a host that has just begun to decide
-// for the pool knows no program, but the owner's record names its endpoints.
+// EndProgramAt is EndProgram for a program that may have run on the given endpoints
+// before this pool knew of it: a host that has just started to decide for the pool
+// knows no program, but the owner's record contains the endpoints.
 func (pool *Pool) EndProgramAt(now bvclock.Time, member, program string, endpoints []string) {
 	for _, endpoint := range endpoints {
-		pool.program(now, member, program).visit(pool.endpointOf(now, endpoint))
+		pool.program(now, member, program).addPrefix(pool.endpointNamed(now, endpoint))
 	}
 	pool.EndProgram(now, member, program)
 }
 
-// release asks the endpoint to drop what it caches, until it confirms.
-func (pool *Pool) release(now bvclock.Time, released *site) {
+// releasePrefix requests the release of a prefix from its endpoint until it is
+// confirmed.
+func (pool *Pool) releasePrefix(now bvclock.Time, released *cachedPrefix) {
 	if released.timer.index == 0 {
 		pool.setTimer(&released.timer, now, released)
 	}
 }
 
-// ring repeats the Release. An endpoint that left the list may still hold the
-// cache: it is asked again when it is back with the same incarnation.
-func (site *site) ring(pool *Pool, now bvclock.Time) {
-	pool.setTimer(&site.timer, now.Add(releaseInterval), site)
-	if site.endpoint.gone {
+// fire repeats the Release. An endpoint that left the list may still hold the cache:
+// the Release continues when it returns with the same incarnation.
+func (prefix *cachedPrefix) fire(pool *Pool, now bvclock.Time) {
+	pool.setTimer(&prefix.timer, now.Add(releaseRetryInterval), prefix)
+	if prefix.endpoint.removed {
 		return
 	}
 	pool.effects = append(pool.effects, Release{
-		Endpoint: site.endpoint.name(),
-		Member:   site.program.key.member,
-		Program:  site.program.key.name,
+		Endpoint: prefix.endpoint.name(),
+		Member:   prefix.program.key.member,
+		Program:  prefix.program.key.name,
 	})
 }
 
-// ConfirmRelease reports that an endpoint has dropped what it cached for a
-// program.
+// ConfirmRelease reports that an endpoint has dropped a program's cached prefix.
 func (pool *Pool) ConfirmRelease(_ bvclock.Time, endpoint, member, program string) {
 	released := pool.programs[programKey{member: member, name: program}]
-	at := pool.endpoints[endpoint]
-	if released == nil || at == nil {
+	target := pool.endpoints[endpoint]
+	if released == nil || target == nil {
 		return
 	}
-	done := released.site(at)
+	done := released.prefixAt(target)
 	if done == nil || done.timer.index == 0 {
 		return
 	}
 	if done.pins > 0 {
-		// The call that runs there fills the cache again: its end starts the
-		// release anew.
+		// The call that runs there fills the cache again; the release restarts when it
+		// ends.
 		pool.stopTimer(&done.timer)
 		return
 	}
-	pool.forget(done)
-	pool.seat(at)
+	pool.forgetPrefix(done)
+	pool.refreshEndpoint(target)
 }
--- a/bvgate/queue.go
+++ b/bvgate/queue.go
@@ -11,48 +11,48 @@
 const (
 	// levelBase is the work of the lowest level; each level doubles it.
 	levelBase Work = 4000
-	lastLevel int  = 12
-	// ageStep is the wait after which a request goes one level down. Without
-	// it a long program starves while short ones keep coming: it shows as a
-	// program that stops at some turn. With it any request is at level 0
-	// after at most lastLevel steps, and there the oldest program goes first.
+	maxLevel  int  = 12
+	// ageStep is the wait after which a request moves one level down. Without it a long
+	// program starves at some turn while short ones keep arriving. With it any request
+	// reaches level 0 after at most maxLevel steps, where the oldest program is served
+	// first.
 	ageStep = 10 * bvclock.Second
 )
 
-// request is a Request that waits.
+// request is a waiting Request.
 type request struct {
 	Request
-	member   *member
-	program  *program
-	askedAt  bvclock.Time
-	order    uint64 // of asking
-	level    int
-	agesAt   bvclock.Time
-	estimate Work
-	repeated bool    // was sent before
-	start    bool    // begins a program
-	bucket   *bucket // nil unless in the member's queue
-	index    int     // in the bucket
-	timer    timer
-
-	parkedAt    *endpoint // whose slot it waits for
-	parkedUntil bvclock.Time
-	restless    bool      // was parked once in vain
-	aside       bool      // is a suspect that waits for an endpoint
-	isolates    *endpoint // which is emptied for it
-}
-
-// level is that of a program with the given attained service: programs of one
-// level are served by age, a lower level first.
-func level(attained Work) int {
+	member      *member
+	program     *program
+	submittedAt bvclock.Time
+	sequence    uint64 // order of arrival
+	level       int
+	agesAt      bvclock.Time
+	estimate    Work
+	retry       bool    // was sent before
+	newProgram  bool    // is the first of its program
+	bucket      *bucket // nil unless in a queue of the member
+	index       int     // in the bucket
+	timer       timer
+
+	parkedAt        *endpoint // endpoint for whose slot it waits
+	parkedUntil     bvclock.Time
+	wasParked       bool      // was parked before and does not park again
+	queuedAsSuspect bool      // waits among the suspects for an endpoint
+	isolating       *endpoint // endpoint that is drained for it
+}
+
+// levelOf is the level of a program with the given attained service. A lower level is
+// served first, and the programs of one level by age.
+func levelOf(attained Work) int {
 	if attained < levelBase {
 		return 0
 	}
-	return min(bits.Len64(uint64(attained/levelBase)), lastLevel)
+	return min(bits.Len64(uint64(attained/levelBase)), maxLevel)
 }
 
-// bucket holds the waiting requests of one member, priority and level, oldest
-// program first.
+// bucket holds the waiting requests of one member, priority and level, oldest program
+// first.
 type bucket struct {
 	priority int
 	level    int
@@ -67,13 +67,13 @@
 }
 
 func (queued *request) older(other *request) bool {
-	if queued.program.firstAt != other.program.firstAt {
-		return queued.program.firstAt < other.program.firstAt
+	if queued.program.firstSeen != other.program.firstSeen {
+		return queued.program.firstSeen < other.program.firstSeen
 	}
-	return queued.order < other.order
+	return queued.sequence < other.sequence
 }
 
-// before is the order within a member.
+// before reports whether a request is served before another one of the same member.
 func (queued *request) before(other *request) bool {
 	if queued.Priority != other.Priority {
 		return queued.Priority > other.Priority
@@ -103,8 +103,8 @@
 	return last
 }
 
-// queue holds the waiting requests of a member: table priority first, then
-// least attained service of the program in levels, then age of the program.
+// queue holds the waiting requests of a member, ordered by the row's priority, then by
+// the program's level of attained service, least first, then by the program's age.
 type queue struct {
 	buckets []*bucket // highest priority first, then lowest level
 	len     int
@@ -141,22 +141,22 @@
 	removed.bucket = nil
 	queue.len--
 	if bucket.Len() == 0 {
-		queue.buckets = slices.DeleteFunc(queue.buckets, bucket.is)
+		queue.buckets = slices.DeleteFunc(queue.buckets, bucket.isSame)
 	}
 }
 
-func (bucket *bucket) is(other *bucket) bool { return bucket == other }
+func (bucket *bucket) isSame(other *bucket) bool { return bucket == other }
 
-// first returns the request that goes first, or nil.
-func (queue *queue) first() *request {
+// peek returns the request that is served next, or nil.
+func (queue *queue) peek() *request {
 	if len(queue.buckets) == 0 {
 		return nil
 	}
 	return queue.buckets[0].heap[0]
 }
 
-// ahead returns the work of what goes before a new request.
-func (queue *queue) ahead(priority, level int) Work {
+// workAhead returns the work of the requests that a new request would wait for.
+func (queue *queue) workAhead(priority, level int) Work {
 	var work Work
 	for _, bucket := range queue.buckets {
 		if bucket.priority < priority || bucket.priority == priority && bucket.level > level {
@@ -167,7 +167,7 @@
 	return work
 }
 
-func (queue *queue) work() Work {
+func (queue *queue) totalWork() Work {
 	var work Work
 	for _, bucket := range queue.buckets {
 		work += bucket.work
--- a/bvgate/regression_test.go
+++ b/bvgate/regression_test.go
@@ -9,12 +9,13 @@
 	"balsamvalve.example/bvverdict"
 )
 
-// The tests here are scenarios in which the fuzz run found a fault.
+// The tests in this file reproduce faults that the fuzz test found.
 
-func TestCallAdoptedBeforeItsEndpointIsListedIsBlamedForTheCrash(t *testing.T) {
-	// A host takes over deciding; owners tell it their calls before the list
-	// of endpoints does. The engine crashes, and the request that did it was
-	// granted again in company, because the call belonged to no endpoint.
+func TestCallAdoptedBeforeItsEndpointIsListedBecomesASuspect(t *testing.T) {
+	// A host takes over as deciding host; owners report their calls to it before it has
+	// the list of endpoints. The engine crashed, and the request that caused it was
+	// granted again beside other calls, because the adopted call belonged to no
+	// endpoint.
 	pool := &Pool{}
 	pool.Adopt(0, Request{ID: 1, Member: "m", Fingerprint: poison}, "a")
 	pool.UpdateEndpoint(0, EndpointReport{Name: "a", Incarnation: "1", Slots: 1})
@@ -32,9 +33,9 @@
 }
 
 func TestSuspectWaitsForACallOfTheSameContentThatWasAdopted(t *testing.T) {
-	// While an engine is emptied for a suspect, an owner tells of a call of
-	// the same content that the former deciding host had granted. The suspect
-	// was granted beside it and could crash two engines at once.
+	// While an engine is drained for a suspect, an owner reports a call with the same
+	// content that the former deciding host had granted. The suspect was granted beside
+	// it and could crash two engines at once.
 	pool := &Pool{}
 	pool.UpdateEndpoint(0, EndpointReport{Name: "a", Slots: 2})
 	pool.UpdateEndpoint(0, EndpointReport{Name: "b", Slots: 0})
@@ -51,8 +52,8 @@
 }
 
 func TestSuspectThatBecomesPoisonousWhileItWaitsIsRefused(t *testing.T) {
-	// While an engine is emptied for a suspect, another host tells of its
-	// second crash. It was granted all the same and crashed a third engine.
+	// While an engine is drained for a suspect, another host reports its second crash.
+	// It was granted nevertheless and crashed a third engine.
 	pool := &Pool{}
 	pool.UpdateEndpoint(0, EndpointReport{Name: "a", Slots: 2})
 	pool.Submit(0, Request{ID: 1, Member: "m"})
@@ -65,10 +66,10 @@
 	require.Equal(t, bvverdict.Poisonous, pool.Tick(0)[0].(Refusal).Err.Code())
 }
 
-func TestEndpointStaysReservedWhileOneOfTwoLoneCallsRuns(t *testing.T) {
-	// A suspect's permit lapses, the next suspect gets the engine, and then
-	// the first one's Used arrives: both run there. When the first ended, the
-	// engine was open again and other calls ran beside the second.
+func TestEndpointStaysReservedWhileOneOfTwoIsolatedCallsRuns(t *testing.T) {
+	// A suspect's permit lapses, the next suspect gets the engine, and then the first
+	// one's MarkUsed arrives: both run there. When the first ended, the engine was open
+	// again and other calls ran beside the second.
 	pool := &Pool{}
 	pool.UpdateEndpoint(0, EndpointReport{Name: "a", Slots: 4})
 	suspects := []Suspect{
@@ -99,9 +100,9 @@
 }
 
 func TestRequestThatTurnsOutToBeASuspectIsServedInTheSameTick(t *testing.T) {
-	// A request waits, and its content becomes a suspect. It was set aside
-	// and then forgotten until something else happened, which in a quiet pool
-	// is never.
+	// The content of a waiting request becomes a suspect. The request moved to the
+	// suspects but was not served until the next event, which never came in an idle
+	// pool.
 	pool := &Pool{}
 	pool.UpdateEndpoint(0, EndpointReport{Name: "a", Slots: 1})
 	pool.Submit(0, Request{ID: 1, Member: "m", Fingerprint: 1})
--- a/bvgate/retry.go
+++ b/bvgate/retry.go
@@ -6,117 +6,118 @@
 )
 
 const (
-	// retryPart is the work that a member's repeated calls may add to that of
-	// its first ones. Without it a failure that breaks many calls multiplies
-	// the load just when there is less to carry it, and holds on after its
-	// cause is gone.
-	retryPart = 0.1
-	// retryCalls is the budget, in usual calls, that is there from the start,
-	// and retryWindow the time whose work it grows to at most.
-	retryCalls  = 20
-	retryWindow = bvclock.Minute
-	// failedKept is how long a call that failed makes the next one of the
-	// same content a repetition, and failedLimit how many of a member's.
-	failedKept  = bvclock.Minute
-	failedLimit = 4096
+	// retryBudgetRatio is the work of a member's retries relative to that of its first
+	// attempts. Without the limit, a failure of many calls multiplies the load when
+	// there is the least capacity for it, and the overload outlasts its cause.
+	retryBudgetRatio = 0.1
+	// initialRetryCalls is the initial budget, in average calls. The budget grows at
+	// most to the retry share of the work that the pool does in a retryWindow.
+	initialRetryCalls = 20
+	retryWindow       = bvclock.Minute
+	// failureTTL is how long a failed call makes the next one with the same content a
+	// retry, and maxFailures how many failed calls are remembered per member.
+	failureTTL  = bvclock.Minute
+	maxFailures = 4096
 )
 
-// retries is a member's retry budget.
-type retries struct {
-	spent  Work         // by repeated calls
-	earned Work         // by first ones
-	at     bvclock.Time // of the last recovery
-	failed map[uint64]bvclock.Time
-	order  []uint64 // fingerprints of failed, oldest first
+// retryBudget is a member's retry budget.
+type retryBudget struct {
+	spent     Work         // by retries
+	earned    Work         // by first attempts
+	updatedAt bvclock.Time // last recovery
+	failedAt  map[uint64]bvclock.Time
+	order     []uint64 // fingerprints in failedAt, oldest first
 }
 
-// recovery is what the budget regains a millisecond without any first calls.
-func (pool *Pool) recovery() Work {
-	return pool.callWork() * retryCalls / Work(retryWindow)
+// recoveryRate is the work per millisecond that the budget regains without first
+// attempts.
+func (pool *Pool) recoveryRate() Work {
+	return pool.callWork() * initialRetryCalls / Work(retryWindow)
 }
 
-// regain pays back with time what repeated calls have spent. A member whose
-// few callers all repeat what failed earns nothing by first calls: without
-// this its budget, once spent, would stay so after the cause is gone. Only the
-// time since the last first call counts.
-func (pool *Pool) regain(now bvclock.Time, of *member) {
-	retries := &of.retries
-	regained := pool.recovery() * Work(now.Sub(retries.at))
-	retries.at = now
-	if retries.spent > retries.earned {
-		retries.earned = min(retries.earned+regained, retries.spent)
+// recoverBudget restores spent budget over time. A member whose few callers only retry
+// failed calls earns nothing by first attempts: once spent, its budget would stay spent
+// after the cause of the failures has ended. Only the time since the last first attempt
+// counts.
+func (pool *Pool) recoverBudget(now bvclock.Time, of *member) {
+	budget := &of.retryBudget
+	regained := pool.recoveryRate() * Work(now.Sub(budget.updatedAt))
+	budget.updatedAt = now
+	if budget.spent > budget.earned {
+		budget.earned = min(budget.earned+regained, budget.spent)
 	}
 }
 
-// left is what repeated calls may still take.
-func (pool *Pool) retriesLeft(of *member) Work {
-	return pool.callWork()*retryCalls + of.retries.earned - of.retries.spent
+// retryBudgetLeft is the work that retries may still use.
+func (pool *Pool) retryBudgetLeft(of *member) Work {
+	return pool.callWork()*initialRetryCalls + of.retryBudget.earned - of.retryBudget.spent
 }
 
-// earn adds the budget's part of a first call.
-func (pool *Pool) earn(of *member, work Work) {
-	of.retries.earned += retryPart * work
-	of.retries.at = max(of.retries.at, pool.now) // what first calls earn is enough
-	limit := of.retries.spent + retryPart*pool.rate()*Work(retryWindow)
-	of.retries.earned = min(of.retries.earned, limit)
+// earnBudget adds the budget's part of the work of a first attempt.
+func (pool *Pool) earnBudget(of *member, work Work) {
+	of.retryBudget.earned += retryBudgetRatio * work
+	// While first attempts earn budget, there is no recovery over time.
+	of.retryBudget.updatedAt = max(of.retryBudget.updatedAt, pool.now)
+	limit := of.retryBudget.spent + retryBudgetRatio*pool.rate()*Work(retryWindow)
+	of.retryBudget.earned = min(of.retryBudget.earned, limit)
 }
 
-// repeats reports whether the call was sent before: as its owner says, or
-// because one of the same content failed a moment ago.
-func (pool *Pool) repeats(now bvclock.Time, asked *Request) bool {
-	if asked.Attempt > 0 {
+// isRetry reports whether the call was sent before: its owner states so, or a call with
+// the same content failed recently.
+func (pool *Pool) isRetry(now bvclock.Time, submitted *Request) bool {
+	if submitted.Attempt > 0 {
 		return true
 	}
-	at, ok := pool.member(asked.Member).retries.failed[asked.Fingerprint]
-	return ok && now.Sub(at) <= failedKept
+	at, ok := pool.member(submitted.Member).retryBudget.failedAt[submitted.Fingerprint]
+	return ok && now.Sub(at) <= failureTTL
 }
 
-// rejectRepetition returns why a repeated call is not queued, or nil.
-func (pool *Pool) rejectRepetition(now bvclock.Time, asked *request) *bvverdict.Error {
-	if !asked.repeated {
+// rejectRetry returns why a retry is not queued, or nil.
+func (pool *Pool) rejectRetry(now bvclock.Time, submitted *request) *bvverdict.Error {
+	if !submitted.retry {
 		return nil
 	}
-	pool.regain(now, asked.member)
-	left := pool.retriesLeft(asked.member)
-	if asked.estimate <= left {
+	pool.recoverBudget(now, submitted.member)
+	left := pool.retryBudgetLeft(submitted.member)
+	if submitted.estimate <= left {
 		return nil
 	}
-	wait := float64((asked.estimate - left) / max(retryPart*pool.memberRate(now, asked.member), pool.recovery()))
-	return overloaded(bvclock.Duration(wait), "retry budget of member %s is spent", asked.Member)
+	wait := float64((submitted.estimate - left) / max(retryBudgetRatio*pool.memberRate(now, submitted.member), pool.recoveryRate()))
+	return errOverloaded(bvclock.Duration(wait), "retry budget of member %s is spent", submitted.Member)
 }
 
-// account books a granted call against the budget.
-func (pool *Pool) account(granted *request, work Work) {
-	if granted.repeated {
-		granted.member.retries.spent += work
+// chargeRetryBudget records the work of a granted call in the retry budget.
+func (pool *Pool) chargeRetryBudget(granted *request, work Work) {
+	if granted.retry {
+		granted.member.retryBudget.spent += work
 		return
 	}
-	pool.earn(granted.member, work)
+	pool.earnBudget(granted.member, work)
 }
 
-// refund gives back what a repeated call took that was not run after all.
-func (pool *Pool) refund(ended *call) {
-	if ended.repeated {
-		ended.member.retries.spent -= ended.estimate
+// refundRetry returns the budget charged for a retry that did not run.
+func (pool *Pool) refundRetry(ended *call) {
+	if ended.retry {
+		ended.member.retryBudget.spent -= ended.estimate
 	}
 }
 
-// noteFailure remembers a call that may have to be repeated.
-func (pool *Pool) noteFailure(now bvclock.Time, failed *call) {
+// recordFailedCall remembers a call that may be retried.
+func (pool *Pool) recordFailedCall(now bvclock.Time, failed *call) {
 	fingerprint := failed.request.Fingerprint
 	if fingerprint == 0 {
 		return
 	}
-	retries := &failed.member.retries
-	if retries.failed == nil {
-		retries.failed = make(map[uint64]bvclock.Time)
+	budget := &failed.member.retryBudget
+	if budget.failedAt == nil {
+		budget.failedAt = make(map[uint64]bvclock.Time)
 	}
-	if _, ok := retries.failed[fingerprint]; !ok {
-		retries.order = append(retries.order, fingerprint)
+	if _, ok := budget.failedAt[fingerprint]; !ok {
+		budget.order = append(budget.order, fingerprint)
 	}
-	retries.failed[fingerprint] = now
-	for len(retries.order) > failedLimit || now.Sub(retries.failed[retries.order[0]]) > failedKept {
-		delete(retries.failed, retries.order[0])
-		retries.order = retries.order[1:]
+	budget.failedAt[fingerprint] = now
+	for len(budget.order) > maxFailures || now.Sub(budget.failedAt[budget.order[0]]) > failureTTL {
+		delete(budget.failedAt, budget.order[0])
+		budget.order = budget.order[1:]
 	}
 }
--- a/bvgate/retry_test.go
+++ b/bvgate/retry_test.go
@@ -14,19 +14,19 @@
 	repeat := Request{Member: "m", AttainedService: 1, Fingerprint: 7, OutputTokens: 50, Attempt: 1}
 	refused := false
 	for range 200 {
-		refused = refused || !failOnce(engines, repeat)
+		refused = refused || !submitAndCancel(engines, repeat)
 		engines.now += 100
 	}
 	require.True(t, refused, "the budget bounds repeats while the failure lasts")
 	engines.now = engines.now.Add(2 * bvclock.Minute)
-	engines.ask(repeat)
+	engines.submit(repeat)
 	require.Empty(t, refusals(engines.tick()))
 }
 
-// failOnce asks for a call, has it canceled after it was sent, and reports
-// whether it was let through.
-func failOnce(engines *engines, request Request) bool {
-	id := engines.ask(request)
+// submitAndCancel submits a request, cancels its call after it was sent, and reports
+// whether the request was accepted.
+func submitAndCancel(engines *engines, request Request) bool {
+	id := engines.submit(request)
 	if len(refusals(engines.pool.Tick(engines.now))) > 0 {
 		return false
 	}
--- a/bvgate/sharing_test.go
+++ b/bvgate/sharing_test.go
@@ -11,16 +11,16 @@
 	"balsamvalve.example/bvclock"
 )
 
-// engines runs granted calls for a fixed time by their tokens, and counts the
-// work that each member got.
+// engines simulates endpoints: a granted call runs for a fixed time that depends on its
+// tokens. It sums the work done for each member.
 type engines struct {
-	pool    *Pool
-	now     bvclock.Time
-	asked   map[RequestID]Request
-	ends    endHeap
-	started []Request
-	work    map[string]float64
-	nextID  RequestID
+	pool      *Pool
+	now       bvclock.Time
+	submitted map[RequestID]Request
+	ends      endHeap
+	started   []Request
+	work      map[string]float64
+	nextID    RequestID
 }
 
 type end struct {
@@ -45,7 +45,7 @@
 }
 
 func newEngines(count, slots int) *engines {
-	engines := &engines{pool: &Pool{limits: Limits{MaxBacklog: bvclock.Hour}}, asked: make(map[RequestID]Request), work: make(map[string]float64)}
+	engines := &engines{pool: &Pool{limits: Limits{MaxBacklog: bvclock.Hour}}, submitted: make(map[RequestID]Request), work: make(map[string]float64)}
 	for i := range count {
 		engines.pool.UpdateEndpoint(0, EndpointReport{Name: endpointName(i), Slots: slots, CacheTokens: 200_000})
 	}
@@ -56,15 +56,15 @@
 	return "engine-" + string(rune('a'+i/26/26)) + string(rune('a'+i/26%26)) + string(rune('a'+i%26))
 }
 
-func (engines *engines) ask(request Request) RequestID {
+func (engines *engines) submit(request Request) RequestID {
 	engines.nextID++
 	request.ID = engines.nextID
-	engines.asked[request.ID] = request
+	engines.submitted[request.ID] = request
 	engines.pool.Submit(engines.now, request)
 	return request.ID
 }
 
-// tick starts what is granted; decode takes 17 ms a token.
+// tick runs a Tick and starts the granted calls; decoding takes 17 ms per token.
 func (engines *engines) tick() []Effect {
 	effects := engines.pool.Tick(engines.now)
 	for _, effect := range effects {
@@ -72,7 +72,7 @@
 		if !ok {
 			continue
 		}
-		request := engines.asked[grant.Request]
+		request := engines.submitted[grant.Request]
 		engines.started = append(engines.started, request)
 		engines.pool.MarkUsed(engines.now, grant.Request)
 		engines.work[request.Member] += float64(request.PromptTokens)/10 + float64(request.OutputTokens)
@@ -82,49 +82,49 @@
 	return effects
 }
 
-// run moves to the next end of a call.
-func (engines *engines) run() Request {
+// finishNext advances the time to the end of the next call and finishes it.
+func (engines *engines) finishNext() Request {
 	ended := heap.Pop(&engines.ends).(end)
 	engines.now = max(engines.now, ended.at)
-	request := engines.asked[ended.id]
+	request := engines.submitted[ended.id]
 	engines.pool.Finish(engines.now, Finish{
 		ID: ended.id, PromptTokens: request.PromptTokens, OutputTokens: request.OutputTokens,
 	})
 	return request
 }
 
-func (engines *engines) share(until bvclock.Time, refill func(done Request)) float64 {
+func (engines *engines) measureShare(until bvclock.Time, refill func(done Request)) float64 {
 	engines.tick()
 	before := map[string]float64{"a": engines.work["a"], "b": engines.work["b"]}
 	for engines.now.Before(until) {
-		refill(engines.run())
+		refill(engines.finishNext())
 		engines.tick()
 	}
 	a, b := engines.work["a"]-before["a"], engines.work["b"]-before["b"]
 	return a / (a + b)
 }
 
-// shareError has member a ask for small calls and member b for large ones,
-// both more than they get, and returns the largest relative error of a's share
-// of the work granted in any of five windows of ten seconds.
+// shareError lets member a submit small calls and member b large ones, both more than
+// their shares, and returns the largest relative error of a's share of the granted work
+// in any of five windows of ten seconds.
 func shareError(engines *engines, weight float64, set func(weights []MemberShare)) float64 {
 	set([]MemberShare{{Member: "a", Weight: weight}, {Member: "b", Weight: 1}})
-	ask := func(member string) {
+	submit := func(member string) {
 		if member == "a" {
-			engines.ask(Request{Member: "a", PromptTokens: 800, OutputTokens: 50})
+			engines.submit(Request{Member: "a", PromptTokens: 800, OutputTokens: 50})
 			return
 		}
-		engines.ask(Request{Member: "b", PromptTokens: 4000, OutputTokens: 200})
+		engines.submit(Request{Member: "b", PromptTokens: 4000, OutputTokens: 200})
 	}
 	for range 400 {
-		ask("a")
-		ask("b")
+		submit("a")
+		submit("b")
 	}
-	again := func(done Request) { ask(done.Member) }
-	engines.share(bvclock.Time(10*bvclock.Second), again)
+	resubmit := func(done Request) { submit(done.Member) }
+	engines.measureShare(bvclock.Time(10*bvclock.Second), resubmit)
 	worst := 0.0
 	for range 5 {
-		share := engines.share(engines.now.Add(10*bvclock.Second), again)
+		share := engines.measureShare(engines.now.Add(10*bvclock.Second), resubmit)
 		worst = max(worst, math.Abs(share*(weight+1)/weight-1))
 	}
 	return worst
@@ -145,29 +145,29 @@
 
 func TestIdleMemberLeavesItsShareAndClaimsLittleBack(t *testing.T) {
 	engines := newEngines(4, 4)
-	ask := func(member string) { engines.ask(Request{Member: member, PromptTokens: 800, OutputTokens: 50}) }
+	submit := func(member string) { engines.submit(Request{Member: member, PromptTokens: 800, OutputTokens: 50}) }
 	for range 100 {
-		ask("a")
+		submit("a")
 	}
-	alone := engines.share(bvclock.Time(30*bvclock.Second), func(Request) { ask("a") })
+	alone := engines.measureShare(bvclock.Time(30*bvclock.Second), func(Request) { submit("a") })
 	require.Equal(t, 1.0, alone)
 
 	for range 100 {
-		ask("b")
+		submit("b")
 	}
 	until := engines.now.Add(10 * bvclock.Second)
-	require.InEpsilon(t, 0.5, engines.share(until, func(done Request) { ask(done.Member) }), 0.05)
+	require.InEpsilon(t, 0.5, engines.measureShare(until, func(done Request) { submit(done.Member) }), 0.05)
 }
 
 func TestProgramWithLeastAttainedServiceGoesFirst(t *testing.T) {
 	engines := newEngines(1, 1)
-	engines.ask(Request{Member: "m", Program: "running", OutputTokens: 1})
+	engines.submit(Request{Member: "m", Program: "running", OutputTokens: 1})
 	engines.tick()
-	engines.ask(Request{Member: "m", Program: "long", AttainedService: 10_000, OutputTokens: 1})
-	engines.ask(Request{Member: "m", Program: "short", OutputTokens: 1})
-	engines.ask(Request{Member: "m", Program: "urgent", AttainedService: 10_000, Priority: 1, OutputTokens: 1})
+	engines.submit(Request{Member: "m", Program: "long", AttainedService: 10_000, OutputTokens: 1})
+	engines.submit(Request{Member: "m", Program: "short", OutputTokens: 1})
+	engines.submit(Request{Member: "m", Program: "urgent", AttainedService: 10_000, Priority: 1, OutputTokens: 1})
 	for range 3 {
-		engines.run()
+		engines.finishNext()
 		engines.tick()
 	}
 	var order []string
@@ -178,31 +178,31 @@
 }
 
 func TestLongProgramFinishesThoughShortOnesKeepComing(t *testing.T) {
-	// A long program asks for its next turn while new programs keep the only
-	// slot taken. Served by attained service alone it would never run again.
+	// A long program waits for its next turn while new programs keep the only slot
+	// taken. If it was served by attained service alone, it would never run again.
 	engines := newEngines(1, 1)
-	engines.ask(Request{Member: "m", Program: "new", OutputTokens: 50})
+	engines.submit(Request{Member: "m", Program: "new", OutputTokens: 50})
 	engines.tick()
-	long := engines.ask(Request{Member: "m", Program: "long", AttainedService: 1e9, OutputTokens: 1})
+	long := engines.submit(Request{Member: "m", Program: "long", AttainedService: 1e9, OutputTokens: 1})
 	for engines.pool.calls[long] == nil {
-		require.Less(t, engines.now, bvclock.Time(bvclock.Duration(lastLevel)*ageStep+bvclock.Minute))
+		require.Less(t, engines.now, bvclock.Time(bvclock.Duration(maxLevel)*ageStep+bvclock.Minute))
 		for range 2 {
-			engines.ask(Request{Member: "m", OutputTokens: 50})
+			engines.submit(Request{Member: "m", OutputTokens: 50})
 		}
-		engines.run()
+		engines.finishNext()
 		engines.tick()
 	}
 }
 
 func TestProgramStaysWhereItsPrefixIsCached(t *testing.T) {
 	engines := newEngines(4, 4)
-	engines.ask(Request{Member: "m", Program: "p", PromptTokens: 8000, OutputTokens: 10})
+	engines.submit(Request{Member: "m", Program: "p", PromptTokens: 8000, OutputTokens: 10})
 	first := engines.tick()[0].(Grant)
-	engines.ask(Request{Member: "m", Program: "q", PromptTokens: 10, OutputTokens: 10})
+	engines.submit(Request{Member: "m", Program: "q", PromptTokens: 10, OutputTokens: 10})
 	require.NotEqual(t, first.Endpoint, engines.tick()[0].(Grant).Endpoint)
-	engines.run()
-	engines.run()
-	engines.ask(Request{Member: "m", Program: "p", PromptTokens: 8100, OutputTokens: 10})
+	engines.finishNext()
+	engines.finishNext()
+	engines.submit(Request{Member: "m", Program: "p", PromptTokens: 8100, OutputTokens: 10})
 	require.Equal(t, first.Endpoint, engines.tick()[0].(Grant).Endpoint)
 }
 
@@ -221,9 +221,9 @@
 	require.Empty(t, pool.programs)
 }
 
-func TestCacheOfALostProgramIsReleased(t *testing.T) {
-	// A program's owner dies, and its caller never comes back, so that nobody
-	// ends it. Its cache was held until other programs pushed it out.
+func TestCacheOfAnAbandonedProgramIsReleased(t *testing.T) {
+	// A program's owner crashes and its caller never returns, so no EndProgram is sent.
+	// Its cache was held until other programs evicted it.
 	pool := &Pool{}
 	pool.UpdateEndpoint(0, EndpointReport{Name: "a", Slots: 1, CacheTokens: 1000})
 	pool.Submit(0, Request{ID: 1, Member: "m", Program: "p", PromptTokens: 10})
--- a/bvgate/snapshot.go
+++ b/bvgate/snapshot.go
@@ -14,7 +14,7 @@
 	Queued        int
 	Running       int
 	EstimatedWait bvclock.Duration // of a new program's first request
-	ServedWork    Work             // since this pool was first decided here
+	ServedWork    Work             // since this host started to decide for the pool
 }
 
 // EndpointStatus is an endpoint's state in a pool.
@@ -22,35 +22,36 @@
 	Name         string
 	Running      int
 	Slots        int
-	CachedTokens int // of programs that wait for their next turn
+	CachedTokens int // of programs without a running call
 	Leaving      bool
-	Ejected      bool // failed calls; probed later
+	Ejected      bool // after failed calls, until it is probed
 }
 
-// Snapshot returns the state at the last Tick, members and endpoints sorted by name.
+// Snapshot returns the state at the last Tick; members and endpoints are sorted by
+// name.
 func (pool *Pool) Snapshot() Snapshot {
 	var snapshot Snapshot
-	for _, found := range pool.byName {
+	for _, found := range pool.membersByName {
 		snapshot.Members = append(snapshot.Members, MemberStatus{
 			Member:        found.name,
 			Queued:        found.queued,
 			Running:       found.running,
-			EstimatedWait: pool.wait(pool.now, found, 0, 0),
-			ServedWork:    found.served,
+			EstimatedWait: pool.estimateWait(pool.now, found, 0, 0),
+			ServedWork:    found.servedWork,
 		})
 	}
-	for _, name := range pool.names {
-		at := pool.endpoints[name]
-		if at.gone {
+	for _, name := range pool.endpointNames {
+		target := pool.endpoints[name]
+		if target.removed {
 			continue
 		}
 		snapshot.Endpoints = append(snapshot.Endpoints, EndpointStatus{
 			Name:         name,
-			Running:      at.running(),
-			Slots:        at.report.Slots,
-			CachedTokens: at.cache.tokens,
-			Leaving:      at.report.Leaving,
-			Ejected:      at.health.ejected,
+			Running:      target.running(),
+			Slots:        target.report.Slots,
+			CachedTokens: target.cache.tokens,
+			Leaving:      target.report.Leaving,
+			Ejected:      target.health.ejected,
 		})
 	}
 	return snapshot
--- a/bvgate/suspect.go
+++ b/bvgate/suspect.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// poisonousAt is the number of crashes at which a request is refused.
-	poisonousAt = 2
-	// suspicionKept is how long a crash is held against a request.
-	suspicionKept = bvclock.Hour
-	// suspicionLimit bounds a member's suspects; the oldest are forgotten.
-	suspicionLimit = 1024
+	// poisonousCrashes is the number of crashes after which a request is refused.
+	poisonousCrashes = 2
+	// suspicionTTL is how long a crash counts against a request.
+	suspicionTTL = bvclock.Hour
+	// maxSuspicions bounds a member's suspects; the oldest are deleted.
+	maxSuspicions = 1024
 )
 
 type suspectKey struct {
@@ -24,39 +24,38 @@
 
 // suspicion is a request content that was in flight when an endpoint crashed.
 //
-// It guards against a request that crashes each endpoint that runs it while
-// its caller sends it again: the suspect runs with nothing beside it, so that
-// no other call dies with it, and is refused after its second crash. One that
-// finishes is cleared.
+// It guards against a request that crashes each endpoint that runs it while its caller
+// retries it: the suspect runs isolated, so that its crash fails no other call, and is
+// refused after its second crash. A suspect that finishes is cleared.
 type suspicion struct {
 	key     suspectKey
 	crashes int
 	timer   timer
 }
 
-// Suspect is a suspicion in a form that hosts can tell each other.
+// Suspect is a suspicion in the form that hosts exchange.
 type Suspect struct {
 	Member      string
 	Fingerprint uint64
 	Crashes     int
-	ExpiresIn   bvclock.Duration // until it is forgotten
+	ExpiresIn   bvclock.Duration // time until the suspicion is deleted
 }
 
-func keyOf(request *Request) suspectKey {
+func suspectKeyOf(request *Request) suspectKey {
 	return suspectKey{member: request.Member, fingerprint: request.Fingerprint}
 }
 
-// suspicion returns what is held against a request, or nil.
-func (pool *Pool) suspicion(request *Request) *suspicion {
+// suspicionOf returns the suspicion of a request's content, or nil.
+func (pool *Pool) suspicionOf(request *Request) *suspicion {
 	if request.Fingerprint == 0 {
 		return nil
 	}
-	return pool.suspicions[keyOf(request)]
+	return pool.suspicions[suspectKeyOf(request)]
 }
 
-func (pool *Pool) poisonous(request *Request) bool {
-	found := pool.suspicion(request)
-	return found != nil && found.crashes >= poisonousAt
+func (pool *Pool) isPoisonous(request *Request) bool {
+	found := pool.suspicionOf(request)
+	return found != nil && found.crashes >= poisonousCrashes
 }
 
 func errPoisonous() *bvverdict.Error {
@@ -77,17 +76,17 @@
 	return suspects
 }
 
-// Suspected reports whether a crash is held against a request content.
+// IsSuspect reports whether a crash counts against a request content.
 func (pool *Pool) IsSuspect(member string, fingerprint uint64) bool {
 	return pool.suspicions[suspectKey{member: member, fingerprint: fingerprint}] != nil
 }
 
-// SuspectedCrashes returns how many crashes were seen here that made suspects.
-// What other hosts tell does not count.
-func (pool *Pool) SuspectCrashes() uint64 { return pool.suspectedCrashes }
+// SuspectCrashes returns how many crashes on endpoints of this pool made suspects.
+// Suspects received from other hosts don't count.
+func (pool *Pool) SuspectCrashes() uint64 { return pool.suspectCrashes }
 
-// AddSuspects learns from another host. The higher number of crashes counts;
-// they are not added up, because hosts tell each other of the same crash.
+// AddSuspects adds suspects received from another host. The higher number of crashes
+// counts; the numbers are not added, because hosts report the same crash to each other.
 func (pool *Pool) AddSuspects(now bvclock.Time, suspects []Suspect) {
 	for _, suspect := range suspects {
 		if suspect.ExpiresIn <= 0 || suspect.Fingerprint == 0 {
@@ -98,12 +97,12 @@
 		if known != nil && known.crashes >= suspect.Crashes {
 			continue
 		}
-		pool.suspect(now, key, suspect.Crashes, min(suspect.ExpiresIn, suspicionKept))
+		pool.recordSuspicion(now, key, suspect.Crashes, min(suspect.ExpiresIn, suspicionTTL))
 	}
 }
 
-// suspect records crashes of a request for as long as kept.
-func (pool *Pool) suspect(now bvclock.Time, key suspectKey, crashes int, kept bvclock.Duration) {
+// recordSuspicion records the crashes of a request for the given time.
+func (pool *Pool) recordSuspicion(now bvclock.Time, key suspectKey, crashes int, ttl bvclock.Duration) {
 	found := pool.suspicions[key]
 	if found == nil {
 		found = &suspicion{key: key}
@@ -111,30 +110,30 @@
 			pool.suspicions = make(map[suspectKey]*suspicion)
 		}
 		pool.suspicions[key] = found
-		pool.boundSuspicions(pool.member(key.member), key)
+		pool.limitSuspicions(pool.member(key.member), key)
 	}
 	found.crashes = crashes
-	pool.setTimer(&found.timer, now.Add(kept), found)
+	pool.setTimer(&found.timer, now.Add(ttl), found)
 }
 
-func (pool *Pool) boundSuspicions(of *member, added suspectKey) {
+func (pool *Pool) limitSuspicions(of *member, added suspectKey) {
 	of.suspicions = append(of.suspicions, added)
-	if len(of.suspicions) <= suspicionLimit {
+	if len(of.suspicions) <= maxSuspicions {
 		return
 	}
 	if oldest := pool.suspicions[of.suspicions[0]]; oldest != nil {
-		pool.clear(oldest)
+		pool.clearSuspicion(oldest)
 		return
 	}
 	of.suspicions = of.suspicions[1:]
 }
 
-// ring forgets a suspicion that is old.
-func (suspicion *suspicion) ring(pool *Pool, _ bvclock.Time) {
-	pool.clear(suspicion)
+// fire deletes a suspicion whose time has passed.
+func (suspicion *suspicion) fire(pool *Pool, _ bvclock.Time) {
+	pool.clearSuspicion(suspicion)
 }
 
-func (pool *Pool) clear(cleared *suspicion) {
+func (pool *Pool) clearSuspicion(cleared *suspicion) {
 	pool.stopTimer(&cleared.timer)
 	delete(pool.suspicions, cleared.key)
 	of := pool.member(cleared.key.member)
@@ -143,39 +142,39 @@
 	}
 }
 
-// blame makes suspects of all calls in flight at a crash. The first report of
-// a crash blames them all; what their owners report later is the same crash.
-func (pool *Pool) blame(now bvclock.Time, crashed *call) {
-	if crashed.boot == nil || crashed.blamed {
+// suspectInFlight makes suspects of all calls in flight at a crash. The first report of
+// a crash covers all of them; later reports by their owners are of the same crash.
+func (pool *Pool) suspectInFlight(now bvclock.Time, crashed *call) {
+	if crashed.incarnation == nil || crashed.crashCounted {
 		return
 	}
-	at := crashed.boot.endpoint
-	zone := pool.countCrash(now, at)
-	pool.suspectedCrashes++
-	failed := zone != nil && pool.zoneFailed(at.report.Zone, zone)
-	for _, call := range crashed.boot.inOrder() {
-		call.blamed = true
+	target := crashed.incarnation.endpoint
+	zone := pool.recordCrash(now, target)
+	pool.suspectCrashes++
+	failed := zone != nil && pool.isZoneFailed(target.report.Zone, zone)
+	for _, call := range crashed.incarnation.callsInOrder() {
+		call.crashCounted = true
 		if call.request.Fingerprint == 0 || failed {
 			continue
 		}
-		key := keyOf(&call.request)
+		key := suspectKeyOf(&call.request)
 		crashes := 1
 		if known := pool.suspicions[key]; known != nil {
 			crashes += known.crashes
 		}
-		pool.suspect(now, key, crashes, suspicionKept)
+		pool.recordSuspicion(now, key, crashes, suspicionTTL)
 		if zone != nil {
-			zone.suspected = append(zone.suspected, key)
+			zone.suspects = append(zone.suspects, key)
 		}
 	}
 	if failed {
-		pool.pardon(zone)
+		pool.withdrawSuspicions(zone)
 	}
 }
 
-func (boot *boot) inOrder() []*call {
-	calls := make([]*call, 0, len(boot.calls))
-	for _, call := range boot.calls {
+func (incarnation *incarnation) callsInOrder() []*call {
+	calls := make([]*call, 0, len(incarnation.calls))
+	for _, call := range incarnation.calls {
 		calls = append(calls, call)
 	}
 	slices.SortFunc(calls, func(a, b *call) int { return cmp.Compare(a.request.ID, b.request.ID) })
--- a/bvgate/timer.go
+++ b/bvgate/timer.go
@@ -6,17 +6,17 @@
 	"balsamvalve.example/bvclock"
 )
 
-// alarm is an entity that something is to be done about at a set time.
-type alarm interface {
-	ring(pool *Pool, now bvclock.Time)
+// timerHandler handles the expiry of a timer.
+type timerHandler interface {
+	fire(pool *Pool, now bvclock.Time)
 }
 
-// timer is an entity's place in the heap of timers. The zero value is not set.
+// timer is an element of the heap of timers. The zero value is not set.
 type timer struct {
-	at    bvclock.Time
-	order uint64 // of setting; decides between equal times
-	index int    // in the heap, from 1; 0 when not set
-	alarm alarm
+	at       bvclock.Time
+	sequence uint64 // of setting; orders equal times
+	index    int    // in the heap, from 1; 0 when not set
+	handler  timerHandler
 }
 
 type timerHeap []*timer
@@ -27,7 +27,7 @@
 	if timers[i].at != timers[j].at {
 		return timers[i].at < timers[j].at
 	}
-	return timers[i].order < timers[j].order
+	return timers[i].sequence < timers[j].sequence
 }
 
 func (timers timerHeap) Swap(i, j int) {
@@ -51,9 +51,9 @@
 }
 
 // setTimer sets or moves a timer.
-func (pool *Pool) setTimer(set *timer, at bvclock.Time, rings alarm) {
-	pool.order++
-	set.at, set.order, set.alarm = at, pool.order, rings
+func (pool *Pool) setTimer(set *timer, at bvclock.Time, handler timerHandler) {
+	pool.sequence++
+	set.at, set.sequence, set.handler = at, pool.sequence, handler
 	if set.index == 0 {
 		heap.Push(&pool.timers, set)
 		return
@@ -67,9 +67,9 @@
 	}
 }
 
-func (pool *Pool) ringTimers(now bvclock.Time) {
+func (pool *Pool) fireTimers(now bvclock.Time) {
 	for len(pool.timers) > 0 && !pool.timers[0].at.After(now) {
-		rung := heap.Pop(&pool.timers).(*timer)
-		rung.alarm.ring(pool, now)
+		fired := heap.Pop(&pool.timers).(*timer)
+		fired.handler.fire(pool, now)
 	}
 }
--- a/bvgate/zone.go
+++ b/bvgate/zone.go
@@ -7,17 +7,18 @@
 )
 
 const (
-	// zoneWindow and zoneCrashes tell the crash of a zone from a poisonous
-	// request, which crashes one endpoint after the other: in the window so
-	// many endpoints crashed, and half of the zone's at least.
-	zoneWindow  = 10 * bvclock.Second
-	zoneCrashes = 3
+	// zoneWindow and minZoneCrashes distinguish the failure of a zone from a poisonous
+	// request, which crashes one endpoint after the other: a zone failed if
+	// minZoneCrashes endpoints and at least half of the zone's endpoints crashed within
+	// the window.
+	zoneWindow     = 10 * bvclock.Second
+	minZoneCrashes = 3
 )
 
-// zone is what crashed lately in an availability zone.
+// zone records the recent crashes in an availability zone.
 type zone struct {
-	crashed   []zoneCrash
-	suspected []suspectKey // by these crashes
+	recentCrashes []zoneCrash
+	suspects      []suspectKey // made by these crashes
 }
 
 type zoneCrash struct {
@@ -25,9 +26,10 @@
 	at       bvclock.Time
 }
 
-// countCrash records a crash in the endpoint's zone; nil without a known zone.
-func (pool *Pool) countCrash(now bvclock.Time, at *endpoint) *zone {
-	name := at.report.Zone
+// recordCrash records a crash in the endpoint's zone. It returns nil if the zone is
+// unknown.
+func (pool *Pool) recordCrash(now bvclock.Time, target *endpoint) *zone {
+	name := target.report.Zone
 	if name == "" {
 		return nil
 	}
@@ -39,39 +41,39 @@
 		}
 		pool.zones[name] = found
 	}
-	found.crashed = slices.DeleteFunc(found.crashed, func(crash zoneCrash) bool {
-		return crash.endpoint == at || now.Sub(crash.at) > zoneWindow
+	found.recentCrashes = slices.DeleteFunc(found.recentCrashes, func(crash zoneCrash) bool {
+		return crash.endpoint == target || now.Sub(crash.at) > zoneWindow
 	})
-	if len(found.crashed) == 0 {
-		found.suspected = nil
+	if len(found.recentCrashes) == 0 {
+		found.suspects = nil
 	}
-	found.crashed = append(found.crashed, zoneCrash{endpoint: at, at: now})
+	found.recentCrashes = append(found.recentCrashes, zoneCrash{endpoint: target, at: now})
 	return found
 }
 
-func (pool *Pool) zoneFailed(name string, crashed *zone) bool {
+func (pool *Pool) isZoneFailed(name string, crashed *zone) bool {
 	size := 0
-	for _, endpoint := range pool.names {
+	for _, endpoint := range pool.endpointNames {
 		if pool.endpoints[endpoint].report.Zone == name {
 			size++
 		}
 	}
-	return len(crashed.crashed) >= zoneCrashes && 2*len(crashed.crashed) >= size
+	return len(crashed.recentCrashes) >= minZoneCrashes && 2*len(crashed.recentCrashes) >= size
 }
 
-// pardon takes back the suspicions of crashes that the zone's failure
-// explains. Otherwise each request that was in flight in the zone would
-// empty an endpoint elsewhere, when those are needed most.
-func (pool *Pool) pardon(failed *zone) {
-	for _, key := range failed.suspected {
+// withdrawSuspicions withdraws the suspicions of crashes that the zone's failure
+// explains. Otherwise each request that was in flight in the zone would drain an
+// endpoint elsewhere, when those endpoints are needed most.
+func (pool *Pool) withdrawSuspicions(failed *zone) {
+	for _, key := range failed.suspects {
 		found := pool.suspicions[key]
 		if found == nil {
 			continue
 		}
 		found.crashes--
 		if found.crashes == 0 {
-			pool.clear(found)
+			pool.clearSuspicion(found)
 		}
 	}
-	failed.suspected = nil
+	failed.suspects = nil
 }
--- a/scripts/fuzz.sh
+++ b/scripts/fuzz.sh
@@ -11,7 +11,7 @@
 esac
 tests=(
   "bvledger TestPromisesHoldUnderFaults 400"
-  "bvgate TestPoolKeepsItsPromisesUnderFailures 150"
+  "bvgate TestPoolKeepsItsInvariantsUnderFailures 150"
   "bvtable TestTableNeverLosesAnEditAndNeverGoesBack 150"
 )
 out=$(mktemp -d)
