--- a/bvpermit/client.go
+++ b/bvpermit/client.go
@@ -15,48 +15,48 @@
 	"balsamvalve.example/bvverdict"
 )
 
-// asksPerRequest bounds how many hosts are asked for one permit.
-const asksPerRequest = 3
+// maxHostsPerRequest bounds how many hosts are queried for one permit.
+const maxHostsPerRequest = 3
 
-// retryAfterNoDecider is told when no deciding host could be reached: the
-// platform's list shows the loss within this time.
-const retryAfterNoDecider = 3 * bvclock.Second
+// unreachableRetryAfter is the retry time when no deciding host could be reached: the
+// platform's list shows the loss of a host within this time.
+const unreachableRetryAfter = 3 * bvclock.Second
 
-// Client asks the deciding hosts for permits. It is safe for concurrent use.
+// Client requests permits from the deciding hosts. It is safe for concurrent use.
 type Client struct {
-	clock bvclock.Clock
-	view  *bvhost.View
-	peers *bvpeer.Pool
-	local *Server
-	log   logrus.FieldLogger
-	told  atomic.Int64 // times that a host took suspects
+	clock        bvclock.Clock
+	view         *bvhost.View
+	peers        *bvpeer.Pool
+	local        *Server
+	log          logrus.FieldLogger
+	suspectsSent atomic.Int64 // suspect lists delivered to other hosts
 }
 
 // NewClient returns a client; local decides for the pools of this host.
 func NewClient(clock bvclock.Clock, view *bvhost.View, peers *bvpeer.Pool, local *Server, log logrus.FieldLogger) *Client {
 	client := &Client{clock: clock, view: view, peers: peers, local: local, log: log}
 	if local != nil {
-		local.share = client.share
+		local.sendSuspects = client.sendSuspects
 	}
 	return client
 }
 
-// Permit lets its holder make one call.
+// Permit allows its holder to make one call.
 type Permit struct {
-	client   *Client
-	ask      *bvpeer.PermitAsk
-	endpoint string
-	address  string
-	priority int
-	lapses   bvclock.Time
-	mutex    sync.Mutex
-	line     line
-	finished bool
+	client    *Client
+	request   *bvpeer.PermitAsk
+	endpoint  string
+	address   string
+	priority  int
+	expiresAt bvclock.Time
+	mutex     sync.Mutex
+	link      link
+	finished  bool
 }
 
-// line is the way to the host that decided.
-type line interface {
-	use()
+// link reports to the host that decided.
+type link interface {
+	markUsed()
 	finish(*bvpeer.PermitFinish)
 }
 
@@ -66,20 +66,20 @@
 // Address returns the IP and port of the endpoint to call.
 func (permit *Permit) Address() string { return permit.address }
 
-// Priority returns the priority that the endpoint is to give the call.
+// Priority returns the priority to pass to the endpoint.
 func (permit *Permit) Priority() int { return permit.priority }
 
-// Valid reports whether the permit may still be used. A holder that was paused
-// past the lapse must ask again: its slot has been given to another call.
+// IsValid reports whether the permit may still be used. A holder that was paused past
+// its expiry must request a new permit: the slot has been granted to another call.
 func (permit *Permit) IsValid() bool {
-	return permit.client.clock.Now().Before(permit.lapses)
+	return permit.client.clock.Now().Before(permit.expiresAt)
 }
 
-// Use reports that the call is sent.
+// MarkUsed reports that the call is sent.
 func (permit *Permit) MarkUsed() {
 	permit.mutex.Lock()
 	defer permit.mutex.Unlock()
-	permit.line.use()
+	permit.link.markUsed()
 }
 
 // Finish reports how the call ended. Only the first report counts.
@@ -90,103 +90,104 @@
 		return
 	}
 	permit.finished = true
-	permit.line.finish(finish)
+	permit.link.finish(finish)
 }
 
-// Acquire waits for a permit. Its errors are *bvverdict.Error with verdict
-// NotRun: nothing was sent to an endpoint.
-func (client *Client) Acquire(ctx context.Context, ask *bvpeer.PermitAsk) (*Permit, error) {
+// Acquire waits for a permit. Its errors are *bvverdict.Error with verdict NotRun: no
+// call was sent to an endpoint.
+func (client *Client) Acquire(ctx context.Context, request *bvpeer.PermitAsk) (*Permit, error) {
 	ctx, span := bvtrace.Start(ctx, "permit")
-	permit, err := client.acquire(ctx, ask)
+	permit, err := client.acquire(ctx, request)
 	span.End(err)
 	endpoint := ""
 	if err == nil {
 		endpoint = permit.Endpoint()
 	}
-	bvtrace.LogHop(ctx, client.log, "permit asked for", err, "pool", ask.GetPool(), "endpoint", endpoint)
+	bvtrace.LogHop(ctx, client.log, "permit asked for", err, "pool", request.GetPool(), "endpoint", endpoint)
 	return permit, err
 }
 
-func (client *Client) acquire(ctx context.Context, ask *bvpeer.PermitAsk) (*Permit, error) {
-	asked := 0
-	for _, host := range client.view.Candidates(client.clock.Now(), "pool/"+ask.GetPool()) {
+func (client *Client) acquire(ctx context.Context, request *bvpeer.PermitAsk) (*Permit, error) {
+	queried := 0
+	for _, host := range client.view.Candidates(client.clock.Now(), "pool/"+request.GetPool()) {
 		if host.State != bvplatform.HostLive && host.Name != client.view.Self().Name {
 			continue
 		}
-		if asked == asksPerRequest {
+		if queried == maxHostsPerRequest {
 			break
 		}
-		asked++
-		permit, reached, err := client.askHost(ctx, host, ask)
+		queried++
+		permit, reached, err := client.requestFrom(ctx, host, request)
 		if reached {
 			return permit, err
 		}
 		if ctx.Err() != nil {
-			return nil, bvverdict.Refuse(bvverdict.Canceled, "given up before a permit was granted").WithCause(ctx.Err())
+			return nil, bvverdict.Refuse(bvverdict.Canceled, "request canceled before a permit was granted").WithCause(ctx.Err())
 		}
-		client.distrust(host.Name)
+		client.markUnreachable(host.Name)
 	}
-	return nil, bvverdict.Refuse(bvverdict.Overloaded, "no host that decides for %s could be reached", ask.GetPool()).
-		WithRetryAfter(retryAfterNoDecider)
+	return nil, bvverdict.Refuse(bvverdict.Overloaded, "no deciding host of %s is reachable", request.GetPool()).
+		WithRetryAfter(unreachableRetryAfter)
 }
 
-func (client *Client) distrust(host string) {
+func (client *Client) markUnreachable(host string) {
 	if client.view.MarkUnreachable(client.clock.Now(), host) {
 		client.log.WithField("host", host).Warn("deciding host can't be reached")
 	}
 }
 
-// askHost asks one host; reached is false when the host gave no decision.
-func (client *Client) askHost(ctx context.Context, host bvplatform.Host, ask *bvpeer.PermitAsk) (permit *Permit, reached bool, err error) {
+// requestFrom requests a permit from one host; reached is false if the host returned no
+// decision.
+func (client *Client) requestFrom(ctx context.Context, host bvplatform.Host, request *bvpeer.PermitAsk) (permit *Permit, reached bool, err error) {
 	if host.Name == client.view.Self().Name {
-		permit, err = client.askLocal(ctx, ask)
+		permit, err = client.requestLocal(ctx, request)
 		return permit, true, err
 	}
-	return client.askRemote(ctx, host, ask)
+	return client.requestRemote(ctx, host, request)
 }
 
-func (client *Client) askLocal(ctx context.Context, ask *bvpeer.PermitAsk) (*Permit, error) {
+func (client *Client) requestLocal(ctx context.Context, request *bvpeer.PermitAsk) (*Permit, error) {
 	_, span := bvtrace.Start(ctx, "queue")
 	defer span.End(nil)
-	client.local.tellBefore(ctx, ask)
-	ticket := client.local.Submit(ask)
+	client.local.sendBeforeRun(ctx, request)
+	ticket := client.local.Submit(request)
 	select {
 	case decision := <-ticket.Decision():
-		return client.permitOf(ask, decision, localLine{ticket})
+		return client.permitOf(request, decision, localLink{ticket})
 	case <-ctx.Done():
 		ticket.Withdraw()
-		return nil, bvverdict.Refuse(bvverdict.Canceled, "given up before a permit was granted").WithCause(ctx.Err())
+		return nil, bvverdict.Refuse(bvverdict.Canceled, "request canceled before a permit was granted").WithCause(ctx.Err())
 	}
 }
 
-func (client *Client) permitOf(ask *bvpeer.PermitAsk, decision *bvpeer.PermitDecision, line line) (*Permit, error) {
+func (client *Client) permitOf(request *bvpeer.PermitAsk, decision *bvpeer.PermitDecision, link link) (*Permit, error) {
 	grant := decision.GetGrant()
 	if grant == nil {
 		return nil, bvpeer.ErrorOf(decision.GetRefusal())
 	}
 	return &Permit{
-		client:   client,
-		ask:      ask,
-		endpoint: grant.GetEndpoint(),
-		address:  grant.GetAddress(),
-		priority: int(grant.GetPriority()),
-		lapses:   client.clock.Now().Add(bvclock.Duration(grant.GetLapseMs()) / 2), // the rest is for the way there and back
-		line:     line,
+		client:    client,
+		request:   request,
+		endpoint:  grant.GetEndpoint(),
+		address:   grant.GetAddress(),
+		priority:  int(grant.GetPriority()),
+		expiresAt: client.clock.Now().Add(bvclock.Duration(grant.GetLapseMs()) / 2), // the other half allows for transit
+		link:      link,
 	}, nil
 }
 
 // Adopt returns the permit of a call that already runs on an endpoint.
-func (client *Client) Adopt(ctx context.Context, ask *bvpeer.PermitAsk, endpoint, address string) *Permit {
-	permit := &Permit{client: client, ask: ask, endpoint: endpoint, address: address}
-	permit.line = client.adopt(ctx, ask, endpoint)
-	if line, remote := permit.line.(remoteLine); remote {
-		go permit.watch(line)
+func (client *Client) Adopt(ctx context.Context, request *bvpeer.PermitAsk, endpoint, address string) *Permit {
+	permit := &Permit{client: client, request: request, endpoint: endpoint, address: address}
+	permit.link = client.adopt(ctx, request, endpoint)
+	if link, remote := permit.link.(remoteLink); remote {
+		go permit.watch(link)
 	}
 	return permit
 }
 
-// EndProgram tells the deciding host of a pool that a program has ended. It is
-// a hint: the durable record of the end is its owner's.
+// EndProgram notifies the deciding host of a pool that a program has ended. It is a
+// hint: the owner keeps the durable record of the end.
 func (client *Client) EndProgram(ctx context.Context, pool, member, program string) {
 	for _, host := range client.view.Candidates(client.clock.Now(), "pool/"+pool) {
 		if host.Name == client.view.Self().Name {
--- a/bvpermit/link.go
+++ b/bvpermit/link.go
@@ -9,128 +9,128 @@
 	"balsamvalve.example/bvplatform"
 )
 
-// localLine reports to this host's own server.
-type localLine struct {
+// localLink reports to this host's own server.
+type localLink struct {
 	ticket *Ticket
 }
 
-func (line localLine) use() { line.ticket.MarkUsed() }
+func (link localLink) markUsed() { link.ticket.MarkUsed() }
 
-func (line localLine) finish(finish *bvpeer.PermitFinish) { line.ticket.Finish(finish) }
+func (link localLink) finish(finish *bvpeer.PermitFinish) { link.ticket.Finish(finish) }
 
-// remoteLine reports over a permit stream.
-type remoteLine struct {
+// remoteLink reports over a permit stream.
+type remoteLink struct {
 	host   bvplatform.Host
 	stream bvpeer.Peer_PermitClient
 	cancel context.CancelFunc
 }
 
-func (line remoteLine) use() {
-	_ = line.stream.Send(&bvpeer.PermitEvent{Event: &bvpeer.PermitEvent_Used{Used: &bvpeer.PermitUsed{}}})
+func (link remoteLink) markUsed() {
+	_ = link.stream.Send(&bvpeer.PermitEvent{Event: &bvpeer.PermitEvent_Used{Used: &bvpeer.PermitUsed{}}})
 }
 
-// finish leaves the stream open until the server has read the report: canceling
-// it could overtake the report, and look as if this host had died.
-func (line remoteLine) finish(finish *bvpeer.PermitFinish) {
-	_ = line.stream.Send(&bvpeer.PermitEvent{Event: &bvpeer.PermitEvent_Finish{Finish: finish}})
-	_ = line.stream.CloseSend()
+// finish leaves the stream open until the server has read the report: a cancellation
+// could overtake the report, and the server would treat this host as failed.
+func (link remoteLink) finish(finish *bvpeer.PermitFinish) {
+	_ = link.stream.Send(&bvpeer.PermitEvent{Event: &bvpeer.PermitEvent_Finish{Finish: finish}})
+	_ = link.stream.CloseSend()
 }
 
-// noLine reports to nobody: no deciding host was reachable.
-type noLine struct{}
+// noLink discards reports: no deciding host was reachable.
+type noLink struct{}
 
-func (noLine) use() {}
+func (noLink) markUsed() {}
 
-func (noLine) finish(*bvpeer.PermitFinish) {}
+func (noLink) finish(*bvpeer.PermitFinish) {}
 
-// askRemote asks another host. The stream outlives ctx: it carries the reports
-// while the call runs.
-func (client *Client) askRemote(ctx context.Context, host bvplatform.Host, ask *bvpeer.PermitAsk) (permit *Permit, reached bool, err error) {
-	line, err := client.open(ctx, host, ask)
+// requestRemote requests a permit from another host. The stream outlives ctx: it
+// carries the reports while the call runs.
+func (client *Client) requestRemote(ctx context.Context, host bvplatform.Host, request *bvpeer.PermitAsk) (permit *Permit, reached bool, err error) {
+	link, err := client.open(ctx, host, request)
 	if err != nil {
 		return nil, false, nil
 	}
-	stop := context.AfterFunc(ctx, line.cancel)
-	decision, err := line.stream.Recv()
+	stop := context.AfterFunc(ctx, link.cancel)
+	decision, err := link.stream.Recv()
 	inTime := stop()
 	if err != nil || !inTime {
-		line.cancel()
+		link.cancel()
 		return nil, false, nil
 	}
 	client.view.MarkReachable(host.Name)
-	permit, err = client.permitOf(ask, decision, line)
+	permit, err = client.permitOf(request, decision, link)
 	if err != nil {
-		line.cancel()
+		link.cancel()
 		return nil, true, err
 	}
-	go permit.watch(line)
+	go permit.watch(link)
 	return permit, true, nil
 }
 
-func (client *Client) open(ctx context.Context, host bvplatform.Host, ask *bvpeer.PermitAsk) (remoteLine, error) {
+func (client *Client) open(ctx context.Context, host bvplatform.Host, request *bvpeer.PermitAsk) (remoteLink, error) {
 	peer, err := client.peers.Peer(host.PeerAddress)
 	if err != nil {
-		return remoteLine{}, err
+		return remoteLink{}, err
 	}
 	streamContext, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	stream, err := peer.Permit(streamContext)
 	if err != nil {
 		cancel()
-		return remoteLine{}, err
+		return remoteLink{}, err
 	}
-	if err := stream.Send(&bvpeer.PermitEvent{Event: &bvpeer.PermitEvent_Ask{Ask: ask}}); err != nil {
+	if err := stream.Send(&bvpeer.PermitEvent{Event: &bvpeer.PermitEvent_Ask{Ask: request}}); err != nil {
 		cancel()
-		return remoteLine{}, err
+		return remoteLink{}, err
 	}
-	return remoteLine{host: host, stream: stream, cancel: cancel}, nil
+	return remoteLink{host: host, stream: stream, cancel: cancel}, nil
 }
 
-// watch notices that the deciding host was lost while the call runs, and tells
-// the host that decides now. Otherwise that host would think the call's slot
-// free and send the endpoint more than it can batch.
-func (permit *Permit) watch(line remoteLine) {
+// watch detects the loss of the deciding host while the call runs, and reports the call
+// to the host that decides next. Otherwise that host would count the call's slot as
+// free and send the endpoint more calls than it can batch.
+func (permit *Permit) watch(link remoteLink) {
 	for {
-		_, _ = line.stream.Recv()
-		line.cancel()
-		next, watched := permit.replace(line)
+		_, _ = link.stream.Recv()
+		link.cancel()
+		next, watched := permit.replace(link)
 		if !watched {
 			return
 		}
-		line = next
+		link = next
 	}
 }
 
-// replace finds a new deciding host; watched is true when it is to be watched
-// in turn.
-func (permit *Permit) replace(lost remoteLine) (next remoteLine, watched bool) {
+// replace finds a new deciding host. If watched is true, the new link must be watched
+// too.
+func (permit *Permit) replace(lost remoteLink) (next remoteLink, watched bool) {
 	permit.mutex.Lock()
 	defer permit.mutex.Unlock()
 	if permit.finished {
-		return remoteLine{}, false
+		return remoteLink{}, false
 	}
 	client := permit.client
-	client.distrust(lost.host.Name)
-	permit.line = client.adopt(context.Background(), permit.ask, permit.endpoint)
-	next, watched = permit.line.(remoteLine)
+	client.markUnreachable(lost.host.Name)
+	permit.link = client.adopt(context.Background(), permit.request, permit.endpoint)
+	next, watched = permit.link.(remoteLink)
 	return next, watched
 }
 
-// adopt tells the deciding host of a call that already runs on an endpoint.
-func (client *Client) adopt(ctx context.Context, ask *bvpeer.PermitAsk, endpoint string) line {
-	running, ok := proto.Clone(ask).(*bvpeer.PermitAsk)
+// adopt reports a call that already runs on an endpoint to the deciding host.
+func (client *Client) adopt(ctx context.Context, request *bvpeer.PermitAsk, endpoint string) link {
+	running, ok := proto.Clone(request).(*bvpeer.PermitAsk)
 	if !ok {
-		return noLine{}
+		return noLink{}
 	}
 	running.RunningOn = endpoint
-	for _, host := range client.view.Candidates(client.clock.Now(), "pool/"+ask.GetPool()) {
+	for _, host := range client.view.Candidates(client.clock.Now(), "pool/"+request.GetPool()) {
 		if host.Name == client.view.Self().Name {
-			return localLine{client.local.Submit(running)}
+			return localLink{client.local.Submit(running)}
 		}
-		line, err := client.open(ctx, host, running)
+		link, err := client.open(ctx, host, running)
 		if err == nil {
-			return line
+			return link
 		}
-		client.distrust(host.Name)
+		client.markUnreachable(host.Name)
 	}
-	return noLine{}
+	return noLink{}
 }
--- a/bvpermit/pool.go
+++ b/bvpermit/pool.go
@@ -9,19 +9,19 @@
 	"balsamvalve.example/bvplatform"
 )
 
-// pool runs the decisions of one bvgate.Pool: it feeds events in, ticks, and
-// hands the effects on. All access to the decisions is under the mutex.
+// pool drives one bvgate.Pool: it applies events, runs Tick and delivers the effects.
+// The mutex guards all access to the decisions.
 type pool struct {
-	name      string
-	server    *Server
-	mutex     sync.Mutex
-	decisions bvgate.Pool
-	tickets   map[bvgate.RequestID]*Ticket
-	addresses map[string]string
-	work      workLog
-	alarm     bvclock.Alarm
-	telling   sync.Mutex // held while other hosts are told of suspects
-	told      uint64     // crashes that they were told of; under telling
+	name        string
+	server      *Server
+	mutex       sync.Mutex
+	decisions   bvgate.Pool
+	tickets     map[bvgate.RequestID]*Ticket
+	addresses   map[string]string
+	workLog     workLog
+	alarm       bvclock.Alarm
+	sendMutex   sync.Mutex // held while suspects are sent to other hosts
+	sentCrashes uint64     // suspect crashes already sent to other hosts; guarded by sendMutex
 }
 
 func newPool(name string, server *Server) *pool {
@@ -35,9 +35,9 @@
 	return pool
 }
 
-// update takes over the list of endpoints and the members' shares.
+// update applies the list of endpoints and the members' shares.
 func (pool *pool) update(endpoints []bvplatform.Endpoint, shares []bvgate.MemberShare) {
-	pool.do(func(now bvclock.Time) {
+	pool.apply(func(now bvclock.Time) {
 		pool.decisions.SetMembers(shares)
 		listed := make(map[string]bool, len(endpoints))
 		for _, endpoint := range endpoints {
@@ -51,7 +51,7 @@
 				pool.decisions.RemoveEndpoint(now, name)
 			}
 		}
-		pool.work.sample(now, &pool.decisions)
+		pool.workLog.sample(now, &pool.decisions)
 	})
 }
 
@@ -67,31 +67,31 @@
 	}
 }
 
-// do applies an event and carries out what the decisions then want.
-func (pool *pool) do(event func(now bvclock.Time)) {
+// apply applies an event and carries out the resulting effects.
+func (pool *pool) apply(event func(now bvclock.Time)) {
 	pool.mutex.Lock()
 	now := pool.server.clock.Now()
 	event(now)
 	effects := pool.decisions.Tick(now)
 	pool.schedule(now)
-	deliveries := pool.collect(now, effects)
+	deliveries := pool.prepareDeliveries(now, effects)
 	pool.mutex.Unlock()
 	for _, deliver := range deliveries {
 		deliver()
 	}
 }
 
-// schedule arranges the tick that time alone calls for.
+// schedule sets the alarm for the next tick that is due without an event.
 func (pool *pool) schedule(now bvclock.Time) {
 	next := pool.decisions.NextTick()
 	if next == 0 {
 		pool.alarm.Clear()
 		return
 	}
-	pool.alarm.Set(now, next, func() { pool.do(func(bvclock.Time) {}) })
+	pool.alarm.Set(now, next, func() { pool.apply(func(bvclock.Time) {}) })
 }
 
-func (pool *pool) collect(now bvclock.Time, effects []bvgate.Effect) []func() {
+func (pool *pool) prepareDeliveries(now bvclock.Time, effects []bvgate.Effect) []func() {
 	var deliveries []func()
 	for _, effect := range effects {
 		switch effect := effect.(type) {
@@ -139,45 +139,45 @@
 	if !pool.server.release(address, release.Member, release.Program) {
 		return
 	}
-	pool.do(func(now bvclock.Time) {
+	pool.apply(func(now bvclock.Time) {
 		pool.decisions.ConfirmRelease(now, release.Endpoint, release.Member, release.Program)
 	})
 }
 
-// ask enters a request, or one that already runs on an endpoint.
-func (pool *pool) ask(ask *bvpeer.PermitAsk) *Ticket {
+// submit submits a request, or adopts one that already runs on an endpoint.
+func (pool *pool) submit(request *bvpeer.PermitAsk) *Ticket {
 	ticket := &Ticket{pool: pool, decision: make(chan *bvpeer.PermitDecision, 1)}
 	ticket.id = pool.server.nextRequest()
-	pool.do(func(now bvclock.Time) {
+	pool.apply(func(now bvclock.Time) {
 		pool.tickets[ticket.id] = ticket
-		request := requestOf(ticket.id, ask, now)
-		if ask.GetRunningOn() != "" {
-			pool.decisions.Adopt(now, request, ask.GetRunningOn())
+		converted := requestOf(ticket.id, request, now)
+		if request.GetRunningOn() != "" {
+			pool.decisions.Adopt(now, converted, request.GetRunningOn())
 			return
 		}
-		pool.decisions.Submit(now, request)
+		pool.decisions.Submit(now, converted)
 	})
 	return ticket
 }
 
-func requestOf(id bvgate.RequestID, ask *bvpeer.PermitAsk, now bvclock.Time) bvgate.Request {
-	request := bvgate.Request{
+func requestOf(id bvgate.RequestID, request *bvpeer.PermitAsk, now bvclock.Time) bvgate.Request {
+	converted := bvgate.Request{
 		ID:              id,
-		Member:          ask.GetMember(),
-		Class:           ask.GetClass(),
-		Program:         ask.GetProgram(),
-		Priority:        int(ask.GetPriority()),
-		AttainedService: bvgate.Work(ask.GetAttained()),
-		PromptTokens:    int(ask.GetPromptTokens()),
-		OutputTokens:    int(ask.GetOutputTokens()),
-		HistoryEndpoint: ask.GetHistoryFrom(),
-		HistoryTokens:   int(ask.GetHistoryHeld()),
-		Fingerprint:     ask.GetFingerprint(),
-		Unrepeatable:    ask.GetUnrepeatable(),
-		Attempt:         int(ask.GetAttempt()),
+		Member:          request.GetMember(),
+		Class:           request.GetClass(),
+		Program:         request.GetProgram(),
+		Priority:        int(request.GetPriority()),
+		AttainedService: bvgate.Work(request.GetAttained()),
+		PromptTokens:    int(request.GetPromptTokens()),
+		OutputTokens:    int(request.GetOutputTokens()),
+		HistoryEndpoint: request.GetHistoryFrom(),
+		HistoryTokens:   int(request.GetHistoryHeld()),
+		Fingerprint:     request.GetFingerprint(),
+		Unrepeatable:    request.GetUnrepeatable(),
+		Attempt:         int(request.GetAttempt()),
 	}
-	if ask.GetDeadlineMs() > 0 {
-		request.Deadline = now.Add(bvclock.Duration(ask.GetDeadlineMs()))
+	if request.GetDeadlineMs() > 0 {
+		converted.Deadline = now.Add(bvclock.Duration(request.GetDeadlineMs()))
 	}
-	return request
+	return converted
 }
--- a/bvpermit/server.go
+++ b/bvpermit/server.go
@@ -1,17 +1,17 @@
 // Package bvpermit carries permits between the owners of programs and the
 // hosts that decide for a pool of endpoints.
 //
-// Server is the deciding side: it runs the bvgate decisions of each pool that
-// it is asked for. Client is the asking side: it finds the deciding host of a
-// pool, asks, and stays in touch while the call runs. An owner calls the
-// endpoint itself, so a deciding host that dies cuts no stream.
+// Server is the deciding side: it runs the bvgate decisions of each pool for which it
+// receives requests. Client is the requesting side: it finds the deciding host of a pool,
+// requests a permit, and reports to that host while the call runs. An owner calls the
+// endpoint itself, so the failure of a deciding host breaks no stream.
 //
 // # Usage
 //
 //	server := bvpermit.NewServer(clock, release, bvgate.Limits{}, log)
 //	server.Update(endpoints, shares)
 //	client := bvpermit.NewClient(clock, view, peers, server, log)
-//	permit, err := client.Acquire(ctx, ask)
+//	permit, err := client.Acquire(ctx, request)
 //	permit.MarkUsed()
 //	defer permit.Finish(outcome)
 package bvpermit
@@ -33,22 +33,22 @@
 	"balsamvalve.example/bvverdict"
 )
 
-// Release tells the endpoint at address to drop what it caches for a program
-// and reports whether it confirmed.
+// Release instructs the endpoint at address to drop a program's cached prefix and
+// reports whether it confirmed.
 type Release func(address, member, program string) bool
 
-// Server decides for the pools that this host is asked for.
+// Server decides for the pools for which this host receives requests.
 type Server struct {
-	clock     bvclock.Clock
-	release   Release
-	share     func(ctx context.Context, pool string) // tells other hosts of a pool's suspects
-	limits    bvgate.Limits
-	log       logrus.FieldLogger
-	requests  atomic.Uint64
-	mutex     sync.Mutex
-	pools     map[string]*pool
-	endpoints map[string][]bvplatform.Endpoint
-	shares    []bvgate.MemberShare
+	clock        bvclock.Clock
+	release      Release
+	sendSuspects func(ctx context.Context, pool string) // sends a pool's suspects to other hosts
+	limits       bvgate.Limits
+	log          logrus.FieldLogger
+	requests     atomic.Uint64
+	mutex        sync.Mutex
+	pools        map[string]*pool
+	endpoints    map[string][]bvplatform.Endpoint
+	shares       []bvgate.MemberShare
 }
 
 // NewServer returns a server without endpoints.
@@ -56,18 +56,18 @@
 	return &Server{clock: clock, release: release, limits: limits, log: log, pools: make(map[string]*pool)}
 }
 
-// PoolOf names the pool that an endpoint belongs to: endpoints of one model or
-// one service.
+// PoolOf returns the name of an endpoint's pool: all endpoints of one model or one
+// service.
 func PoolOf(endpoint bvplatform.Endpoint) string {
 	return PoolName(endpoint.Kind, endpoint.Serves)
 }
 
-// PoolName names the pool of a model or service.
+// PoolName returns the name of the pool of a model or service.
 func PoolName(kind bvplatform.EndpointKind, serves string) string {
 	return kind.String() + "/" + serves
 }
 
-// Update takes over the list of endpoints and the members' shares.
+// Update applies the list of endpoints and the members' shares.
 func (server *Server) Update(endpoints []bvplatform.Endpoint, shares []bvgate.MemberShare) {
 	byPool := make(map[string][]bvplatform.Endpoint)
 	for _, endpoint := range endpoints {
@@ -87,22 +87,22 @@
 	}
 }
 
-// Serves reports whether any endpoint of the pool is known.
+// HasEndpoints reports whether any endpoint of the pool is known.
 func (server *Server) HasEndpoints(name string) bool {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	return len(server.endpoints[name]) > 0
 }
 
-// Ask enters a request at its pool.
-func (server *Server) Submit(ask *bvpeer.PermitAsk) *Ticket {
-	return server.pool(ask.GetPool()).ask(ask)
+// Submit submits a request to its pool.
+func (server *Server) Submit(request *bvpeer.PermitAsk) *Ticket {
+	return server.pool(request.GetPool()).submit(request)
 }
 
-// EndProgram tells a pool that a program has ended.
+// EndProgram notifies a pool that a program has ended.
 func (server *Server) EndProgram(name, member, program string) {
 	pool := server.pool(name)
-	pool.do(func(now bvclock.Time) { pool.decisions.EndProgram(now, member, program) })
+	pool.apply(func(now bvclock.Time) { pool.decisions.EndProgram(now, member, program) })
 }
 
 func (server *Server) pool(name string) *pool {
@@ -124,33 +124,33 @@
 	return bvgate.RequestID(server.requests.Add(1))
 }
 
-// Serve answers one owner's permit stream.
+// Serve handles one owner's permit stream.
 func (server *Server) Serve(stream bvpeer.Peer_PermitServer) error {
 	first, err := stream.Recv()
 	if err != nil {
 		return err
 	}
-	ask := first.GetAsk()
-	if ask == nil {
-		return stream.Send(refusalOf(bvverdict.Refuse(bvverdict.BadRequest, "permit stream must begin with an ask")))
+	request := first.GetAsk()
+	if request == nil {
+		return stream.Send(refusalOf(bvverdict.Refuse(bvverdict.BadRequest, "permit stream must begin with a permit request")))
 	}
-	if ask.GetRunningOn() == "" {
-		server.tellBefore(stream.Context(), ask)
+	if request.GetRunningOn() == "" {
+		server.sendBeforeRun(stream.Context(), request)
 	}
-	ticket := server.Submit(ask)
-	events := receive(stream)
-	if ask.GetRunningOn() == "" {
-		if !server.decide(stream, ticket, events) {
+	ticket := server.Submit(request)
+	events := receiveEvents(stream)
+	if request.GetRunningOn() == "" {
+		if !server.awaitDecision(stream, ticket, events) {
 			return nil
 		}
 	}
-	server.follow(ticket, events)
+	server.awaitFinish(ticket, events)
 	return nil
 }
 
-// decide waits for the decision and reports whether it was a grant that
-// reached the owner.
-func (server *Server) decide(stream bvpeer.Peer_PermitServer, ticket *Ticket, events <-chan *bvpeer.PermitEvent) bool {
+// awaitDecision waits for the decision and reports whether it was a grant that was sent
+// to the owner.
+func (server *Server) awaitDecision(stream bvpeer.Peer_PermitServer, ticket *Ticket, events <-chan *bvpeer.PermitEvent) bool {
 	_, span := bvtrace.Start(stream.Context(), "queue")
 	defer span.End(nil)
 	select {
@@ -159,18 +159,18 @@
 		bvtrace.LogHop(stream.Context(), server.log, "permit decided", errorOf(decision),
 			"endpoint", decision.GetGrant().GetEndpoint())
 		if err := stream.Send(decision); err != nil {
-			ticket.Finish(unused())
+			ticket.Finish(unusedFinish())
 			return false
 		}
 		return granted
 	case <-events:
-		// The owner sends nothing before the decision: the stream has ended.
+		// The owner sends no event before the decision, so the stream has ended.
 		ticket.Withdraw()
 		return false
 	}
 }
 
-// errorOf returns the refusal of a decision; nil if it is a grant.
+// errorOf returns the refusal in a decision, or nil for a grant.
 func errorOf(decision *bvpeer.PermitDecision) error {
 	if failure := decision.GetRefusal(); failure != nil {
 		return bvpeer.ErrorOf(failure)
@@ -178,10 +178,10 @@
 	return nil
 }
 
-// follow keeps a granted permit until its owner reports the end. When the
-// stream breaks without a report, the owner is gone, or has lost this host and
-// asks another one to adopt the call: either way the slot is given back here.
-func (server *Server) follow(ticket *Ticket, events <-chan *bvpeer.PermitEvent) {
+// awaitFinish applies the owner's reports on a granted permit until the call ends. When
+// the stream breaks without a final report, the owner has failed, or it has lost this
+// host and another host adopts the call: in both cases the slot is freed here.
+func (server *Server) awaitFinish(ticket *Ticket, events <-chan *bvpeer.PermitEvent) {
 	for event := range events {
 		if event.GetUsed() != nil {
 			ticket.MarkUsed()
@@ -194,8 +194,8 @@
 	ticket.Finish(&bvpeer.PermitFinish{Outcome: int32(bvgate.Canceled)})
 }
 
-// receive forwards events until the stream ends, then closes the channel.
-func receive(stream bvpeer.Peer_PermitServer) <-chan *bvpeer.PermitEvent {
+// receiveEvents forwards events until the stream ends, then closes the channel.
+func receiveEvents(stream bvpeer.Peer_PermitServer) <-chan *bvpeer.PermitEvent {
 	events := make(chan *bvpeer.PermitEvent)
 	go func() {
 		defer close(events)
@@ -214,7 +214,7 @@
 	return events
 }
 
-func unused() *bvpeer.PermitFinish {
+func unusedFinish() *bvpeer.PermitFinish {
 	return &bvpeer.PermitFinish{Outcome: int32(bvgate.Unused)}
 }
 
--- a/bvpermit/status.go
+++ b/bvpermit/status.go
@@ -18,7 +18,7 @@
 // MemberStatus is a member's state in a pool.
 type MemberStatus struct {
 	bvgate.MemberStatus
-	RecentWork bvgate.Work // that it was granted here in the last WorkWindow
+	RecentWork bvgate.Work // work granted by this host in the last WorkWindow
 }
 
 // Status returns the state of the pools that this host decides for or has
@@ -44,19 +44,18 @@
 	snapshot := pool.decisions.Snapshot()
 	status := PoolStatus{Pool: pool.name, Endpoints: snapshot.Endpoints}
 	for _, member := range snapshot.Members {
-		status.Members = append(status.Members, MemberStatus{MemberStatus: member, RecentWork: pool.work.recent(member)})
+		status.Members = append(status.Members, MemberStatus{MemberStatus: member, RecentWork: pool.workLog.recentWork(member)})
 	}
 	return status
 }
 
-// WorkWindow is how far back a member's work is counted.
+// WorkWindow is the period over which a member's work is counted.
 const WorkWindow = 10 * bvclock.Second
 
-// workInterval is the least time between two samples.
-const workInterval = bvclock.Second
+// minSampleInterval is the minimum time between two samples.
+const minSampleInterval = bvclock.Second
 
-// workLog remembers what each member had been granted at some moments of the
-// last WorkWindow.
+// workLog holds samples of each member's granted work over the last WorkWindow.
 type workLog struct {
 	samples []workSample // oldest first
 }
@@ -66,10 +65,10 @@
 	served map[string]bvgate.Work // by member
 }
 
-// sample notes what the members have been granted up to now.
+// sample records the members' total granted work.
 func (log *workLog) sample(now bvclock.Time, decisions *bvgate.Pool) {
 	last := len(log.samples) - 1
-	if last >= 0 && now.Sub(log.samples[last].at) < workInterval {
+	if last >= 0 && now.Sub(log.samples[last].at) < minSampleInterval {
 		return
 	}
 	served := make(map[string]bvgate.Work)
@@ -82,9 +81,10 @@
 	}
 }
 
-// recent is the work since the oldest sample. A correction of an older
-// estimate can make it negative, which would only puzzle a reader.
-func (log *workLog) recent(member bvgate.MemberStatus) bvgate.Work {
+// recentWork is the work granted since the oldest sample. A correction of an earlier
+// estimate can make the difference negative; a negative value would confuse readers of
+// the status, so it is reported as 0.
+func (log *workLog) recentWork(member bvgate.MemberStatus) bvgate.Work {
 	if len(log.samples) == 0 {
 		return member.ServedWork
 	}
--- a/bvpermit/suspect.go
+++ b/bvpermit/suspect.go
@@ -11,25 +11,26 @@
 	"balsamvalve.example/bvpeer"
 )
 
-// suspectHosts is how many of the hosts that would decide for a pool next are
-// told of its suspects.
-const suspectHosts = 2
+// maxSuspectReceivers is how many of the hosts next in line to decide for a pool
+// receive its suspects.
+const maxSuspectReceivers = 2
 
-// tellTimeout bounds how long a suspect waits until other hosts know of it.
-const tellTimeout = 500 * bvclock.Millisecond
+// sendTimeout bounds how long a suspect waits until other hosts have received its
+// crashes.
+const sendTimeout = 500 * bvclock.Millisecond
 
 // Suspects returns the suspects of a pool.
 func (server *Server) Suspects(name string) []bvgate.Suspect {
 	var suspects []bvgate.Suspect
 	pool := server.pool(name)
-	pool.do(func(now bvclock.Time) { suspects = pool.decisions.Suspects(now) })
+	pool.apply(func(now bvclock.Time) { suspects = pool.decisions.Suspects(now) })
 	return suspects
 }
 
-// AddSuspects takes in what another host has seen.
-func (server *Server) AddSuspects(told *bvpeer.Suspects) {
-	suspects := make([]bvgate.Suspect, 0, len(told.GetSuspects()))
-	for _, suspect := range told.GetSuspects() {
+// AddSuspects adds the suspects received from another host.
+func (server *Server) AddSuspects(received *bvpeer.Suspects) {
+	suspects := make([]bvgate.Suspect, 0, len(received.GetSuspects()))
+	for _, suspect := range received.GetSuspects() {
 		suspects = append(suspects, bvgate.Suspect{
 			Member:      suspect.GetMember(),
 			Fingerprint: suspect.GetFingerprint(),
@@ -37,12 +38,12 @@
 			ExpiresIn:   bvclock.Duration(suspect.GetLeftMs()),
 		})
 	}
-	pool := server.pool(told.GetPool())
-	pool.do(func(now bvclock.Time) { pool.decisions.AddSuspects(now, suspects) })
+	pool := server.pool(received.GetPool())
+	pool.apply(func(now bvclock.Time) { pool.decisions.AddSuspects(now, suspects) })
 }
 
-// names returns the pools that this host was asked for.
-func (server *Server) names() []string {
+// poolNames returns the pools for which this host has received requests.
+func (server *Server) poolNames() []string {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	names := make([]string, 0, len(server.pools))
@@ -53,63 +54,63 @@
 	return names
 }
 
-// tellSuspects tells the hosts that would decide next of crashes that they have
-// not been told of.
-func (server *Server) tellSuspects(ctx context.Context, name string) {
-	if server.share == nil {
+// sendNewSuspects sends suspects to the hosts that would decide next if there were
+// suspect crashes since the last time.
+func (server *Server) sendNewSuspects(ctx context.Context, name string) {
+	if server.sendSuspects == nil {
 		return
 	}
 	pool := server.pool(name)
-	pool.telling.Lock()
-	defer pool.telling.Unlock()
-	crashes := pool.suspectedCrashes()
-	if crashes == pool.told {
+	pool.sendMutex.Lock()
+	defer pool.sendMutex.Unlock()
+	crashes := pool.suspectCrashes()
+	if crashes == pool.sentCrashes {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), tellTimeout.Std())
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), sendTimeout.Std())
 	defer cancel()
-	server.share(ctx, name)
-	pool.told = crashes
+	server.sendSuspects(ctx, name)
+	pool.sentCrashes = crashes
 }
 
-// tellBefore holds a suspect back until the hosts that would decide next know
-// of its crashes.
+// sendBeforeRun delays a suspect until the hosts that would decide next have received
+// its crashes.
 //
-// It guards against a suspect that crashes one more endpoint after each loss
-// of the deciding host.
-func (server *Server) tellBefore(ctx context.Context, ask *bvpeer.PermitAsk) {
-	if server.pool(ask.GetPool()).suspected(ask) {
-		server.tellSuspects(ctx, ask.GetPool())
+// It guards against a suspect that crashes one more endpoint after each loss of the
+// deciding host.
+func (server *Server) sendBeforeRun(ctx context.Context, request *bvpeer.PermitAsk) {
+	if server.pool(request.GetPool()).isSuspect(request) {
+		server.sendNewSuspects(ctx, request.GetPool())
 	}
 }
 
-func (pool *pool) suspected(ask *bvpeer.PermitAsk) bool {
+func (pool *pool) isSuspect(request *bvpeer.PermitAsk) bool {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
-	return pool.decisions.IsSuspect(ask.GetMember(), ask.GetFingerprint())
+	return pool.decisions.IsSuspect(request.GetMember(), request.GetFingerprint())
 }
 
-func (pool *pool) suspectedCrashes() uint64 {
+func (pool *pool) suspectCrashes() uint64 {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
 	return pool.decisions.SuspectCrashes()
 }
 
-// ShareSuspects tells the hosts that would decide next of this host's suspects.
-// It reaches those that were lost, or not yet next, when a crash was seen.
+// ShareSuspects sends this host's suspects to the hosts that would decide next. It
+// reaches hosts that were unreachable, or not yet next, at the time of a crash.
 func (client *Client) ShareSuspects(ctx context.Context) {
-	for _, name := range client.local.names() {
-		client.share(ctx, name)
+	for _, name := range client.local.poolNames() {
+		client.sendSuspects(ctx, name)
 	}
 }
 
-// SuspectsTold returns how many times a host took this host's suspects.
-func (client *Client) SuspectsSent() int64 { return client.told.Load() }
+// SuspectsSent returns how many times another host has accepted this host's suspects.
+func (client *Client) SuspectsSent() int64 { return client.suspectsSent.Load() }
 
-// share tells the hosts that would decide next of one pool's suspects. Only
-// the host that decides tells, or a suspect that it has cleared would come back
+// sendSuspects sends one pool's suspects to the hosts that would decide next. Only the
+// deciding host sends them; otherwise a suspect that it has cleared would be sent back
 // to it.
-func (client *Client) share(ctx context.Context, pool string) {
+func (client *Client) sendSuspects(ctx context.Context, pool string) {
 	candidates := client.view.Candidates(client.clock.Now(), "pool/"+pool)
 	if candidates[0].Name != client.view.Self().Name {
 		return
@@ -119,7 +120,7 @@
 		return
 	}
 	var group errgroup.Group
-	for _, host := range candidates[1:min(len(candidates), suspectHosts+1)] {
+	for _, host := range candidates[1:min(len(candidates), maxSuspectReceivers+1)] {
 		group.Go(func() error {
 			peer, err := client.peers.Peer(host.PeerAddress)
 			if err != nil {
@@ -128,12 +129,12 @@
 			if _, err := peer.ShareSuspects(ctx, messageOf(pool, suspects)); err != nil {
 				return err
 			}
-			client.told.Add(1)
+			client.suspectsSent.Add(1)
 			return nil
 		})
 	}
 	if err := group.Wait(); err != nil {
-		client.log.WithError(err).WithField("pool", pool).Debug("a host was not told of suspects; it is told at the next poll")
+		client.log.WithError(err).WithField("pool", pool).Debug("suspects could not be sent to a host; retrying at the next poll")
 	}
 }
 
--- a/bvpermit/ticket.go
+++ b/bvpermit/ticket.go
@@ -8,7 +8,7 @@
 	"balsamvalve.example/bvpeer"
 )
 
-// Ticket is one request in the hands of the deciding host.
+// Ticket is a request that the deciding host has received.
 type Ticket struct {
 	pool     *pool
 	id       bvgate.RequestID
@@ -29,15 +29,15 @@
 
 // MarkUsed reports that the call was sent, so that the permit no longer lapses.
 func (ticket *Ticket) MarkUsed() {
-	ticket.pool.do(func(now bvclock.Time) {
+	ticket.pool.apply(func(now bvclock.Time) {
 		ticket.pool.decisions.MarkUsed(now, ticket.id)
 	})
 }
 
-// Finish reports how the call ended and gives its slot back. A second report
-// changes nothing. Other hosts are told of a crash at once.
+// Finish reports how the call ended and frees its slot. A second report has no effect.
+// After a crash, the suspects are sent to other hosts at once.
 func (ticket *Ticket) Finish(finish *bvpeer.PermitFinish) {
-	ticket.pool.do(func(now bvclock.Time) {
+	ticket.pool.apply(func(now bvclock.Time) {
 		if _, found := ticket.pool.tickets[ticket.id]; !found {
 			return
 		}
@@ -52,13 +52,13 @@
 		})
 	})
 	if bvgate.Outcome(finish.GetOutcome()) == bvgate.Crashed {
-		go ticket.pool.server.tellSuspects(context.Background(), ticket.pool.name)
+		go ticket.pool.server.sendNewSuspects(context.Background(), ticket.pool.name)
 	}
 }
 
-// Withdraw takes back a request whose owner gave up before the decision.
+// Withdraw removes a request whose owner canceled it before the decision.
 func (ticket *Ticket) Withdraw() {
-	ticket.pool.do(func(now bvclock.Time) {
+	ticket.pool.apply(func(now bvclock.Time) {
 		if _, found := ticket.pool.tickets[ticket.id]; !found {
 			return
 		}
