--- a/bvowner/chat.go
+++ b/bvowner/chat.go
@@ -16,19 +16,19 @@
 	"balsamvalve.example/bvverdict"
 )
 
-// chat runs a model call on the permitted endpoint.
-func (session *session) chat(ctx context.Context, start bvledger.Start, permit *bvpermit.Permit, try int) (bvledger.Result, bool) {
+// runChat runs a model call on the permitted endpoint.
+func (session *session) runChat(ctx context.Context, start bvledger.Start, permit *bvpermit.Permit, attempt int) (bvledger.Result, bool) {
 	model := session.call.GetModel()
 	prompt, err := session.prompt(start)
 	if err != nil {
-		permit.Finish(unused())
-		return failed(bvverdict.Refuse(bvverdict.BadRequest, "the messages could not be joined")), false
+		permit.Finish(unusedFinish())
+		return failedResult(bvverdict.Refuse(bvverdict.BadRequest, "messages can't be appended to the history")), false
 	}
 	call := bvendpoint.ChatCall{
 		Model:     model.GetModel(),
 		Messages:  prompt,
 		MaxTokens: int(model.GetMaxTokens()),
-		Stream:    session.streamID(start, try),
+		Stream:    session.streamID(start, attempt),
 		Salt:      session.call.GetMember(),
 		Prefix:    session.call.GetProgram(),
 		Priority:  permit.Priority(),
@@ -44,34 +44,34 @@
 		return nil
 	})
 	span.End(err)
-	finish(permit, answer, err)
+	reportFinish(permit, answer, err)
 	result := bvledger.Result{
 		Spent:    int64(answer.PromptTokens) + int64(answer.OutputTokens),
 		Endpoint: permit.Endpoint(),
 	}
 	if err != nil {
 		result.Err = bvverdict.From(err)
-		// Another run writes another text: once the caller has a part of this
-		// one, it would get a mixture.
+		// Another run generates another text: a caller that has received part of this
+		// one would get a mixture.
 		exposed := emitted && session.call.GetStreaming()
 		return result, !exposed && !session.call.GetUnrepeatable()
 	}
-	session.measureCache(start, answer)
-	return session.complete(result, model.GetModel(), answer), false
+	session.countCacheUse(start, answer)
+	return session.buildResult(result, model.GetModel(), answer), false
 }
 
-// measureCache counts what the engine had to compute again although an engine
-// had computed it for an earlier turn.
-func (session *session) measureCache(start bvledger.Start, answer bvendpoint.ChatResult) {
-	measure := session.owner.measure
-	measure.Add("prompt_tokens", int64(answer.PromptTokens))
-	measure.Add("cached_tokens", int64(answer.CachedTokens))
-	measure.Add("recomputed_tokens", max(tokensOf(start.History)-int64(answer.CachedTokens), 0))
+// countCacheUse counts prompt tokens, cached tokens, and the tokens of earlier turns
+// that the engine had to compute again.
+func (session *session) countCacheUse(start bvledger.Start, answer bvendpoint.ChatResult) {
+	metrics := session.owner.metrics
+	metrics.Add("prompt_tokens", int64(answer.PromptTokens))
+	metrics.Add("cached_tokens", int64(answer.CachedTokens))
+	metrics.Add("recomputed_tokens", max(tokensOf(start.History)-int64(answer.CachedTokens), 0))
 }
 
-// prompt is all that the engine is to see: the kept history and the new
-// messages, or just the messages where the caller sent the history with them
-// and the ledger found it to be the kept one.
+// prompt returns the messages for the engine: the persisted history and the new
+// messages, or only the call's messages if the caller sent the history with them and
+// the ledger found it equal to the persisted one.
 func (session *session) prompt(start bvledger.Start) ([]byte, error) {
 	messages := session.call.GetModel().GetMessages()
 	if session.call.GetFullHistory() {
@@ -80,8 +80,8 @@
 	return joinArrays(start.History, messages)
 }
 
-func (session *session) complete(result bvledger.Result, model string, answer bvendpoint.ChatResult) bvledger.Result {
-	kept, err := bvanswer.Encode(bvanswer.Model{
+func (session *session) buildResult(result bvledger.Result, model string, answer bvendpoint.ChatResult) bvledger.Result {
+	encoded, err := bvanswer.Encode(bvanswer.Model{
 		Model:        model,
 		Text:         answer.Text,
 		FinishReason: answer.FinishReason,
@@ -101,15 +101,15 @@
 		result.Err = bvverdict.From(err)
 		return result
 	}
-	result.Answer = kept
+	result.Answer = encoded
 	result.Message = message
 	return result
 }
 
-// streamID names the stream of one attempt, at one epoch of the program.
-func (session *session) streamID(start bvledger.Start, try int) string {
+// streamID returns the id of the stream of one attempt, in one epoch of the program.
+func (session *session) streamID(start bvledger.Start, attempt int) string {
 	call := session.call
-	name := fmt.Sprintf("%s/%s/%d/%d/%d", call.GetMember(), call.GetProgram(), start.Turn, start.Epoch, try)
+	name := fmt.Sprintf("%s/%s/%d/%d/%d", call.GetMember(), call.GetProgram(), start.Turn, start.Epoch, attempt)
 	return fmt.Sprintf("%016x-%016x", xxhash.Sum64String(name), xxhash.Sum64String(call.GetRequest()+name))
 }
 
@@ -142,7 +142,7 @@
 	}}
 }
 
-func hash(parts ...string) uint64 {
+func hashParts(parts ...string) uint64 {
 	digest := xxhash.New()
 	for _, part := range parts {
 		_, _ = digest.WriteString(part)
--- a/bvowner/invoke.go
+++ b/bvowner/invoke.go
@@ -14,8 +14,8 @@
 	"balsamvalve.example/bvverdict"
 )
 
-// invoke runs a call of a plain service.
-func (session *session) invoke(ctx context.Context, permit *bvpermit.Permit) (bvledger.Result, bool) {
+// runService runs a call of a plain service.
+func (session *session) runService(ctx context.Context, permit *bvpermit.Permit) (bvledger.Result, bool) {
 	service := session.call.GetService()
 	header := make(http.Header)
 	if service.GetContentType() != "" {
@@ -32,13 +32,13 @@
 		Unrepeatable: session.call.GetUnrepeatable(),
 	})
 	span.End(err)
-	finish(permit, bvendpoint.ChatResult{}, err)
+	reportFinish(permit, bvendpoint.ChatResult{}, err)
 	if err != nil {
 		refusal := bvverdict.From(err)
-		again := refusal.Verdict() == bvverdict.NotRun || !session.call.GetUnrepeatable()
-		return bvledger.Result{Err: refusal, Spent: serviceCost}, again
+		retry := refusal.Verdict() == bvverdict.NotRun || !session.call.GetUnrepeatable()
+		return bvledger.Result{Err: refusal, Spent: serviceCost}, retry
 	}
-	kept, err := bvanswer.Encode(bvanswer.Service{
+	encoded, err := bvanswer.Encode(bvanswer.Service{
 		Status:      answer.Status,
 		ContentType: answer.Header.Get("Content-Type"),
 		Body:        answer.Body,
@@ -46,9 +46,9 @@
 	if err != nil {
 		return bvledger.Result{Err: bvverdict.From(err), Spent: serviceCost}, false
 	}
-	return bvledger.Result{Answer: kept, Spent: serviceCost}, false
+	return bvledger.Result{Answer: encoded, Spent: serviceCost}, false
 }
 
-func unused() *bvpeer.PermitFinish {
+func unusedFinish() *bvpeer.PermitFinish {
 	return &bvpeer.PermitFinish{Outcome: int32(bvgate.Unused)}
 }
--- a/bvowner/latency.go
+++ b/bvowner/latency.go
@@ -7,56 +7,55 @@
 	"balsamvalve.example/bvledger"
 )
 
-// Measure counts what an owner does.
+// Metrics records an owner's counters and durations.
 type Metrics interface {
 	Add(name string, delta int64)
 	Observe(name string, duration bvclock.Duration)
 }
 
-// noMeasure counts nothing.
-type noMeasure struct{}
+// noMetrics discards all metrics.
+type noMetrics struct{}
 
-func (noMeasure) Add(string, int64)                { /* nobody asked */ }
-func (noMeasure) Observe(string, bvclock.Duration) { /* nobody asked */ }
+func (noMetrics) Add(string, int64)                { /* metrics are disabled */ }
+func (noMetrics) Observe(string, bvclock.Duration) { /* metrics are disabled */ }
 
-// pruneFloor is how many programs are kept at least before those that this
-// host no longer has are looked for.
-const pruneFloor = 1024
+// minPruneSize is the number of programs up to which no pruning takes place.
+const minPruneSize = 1024
 
-// latencies are the programs whose first call was answered here. A program
-// that was taken over in between is not measured: its first call is not known.
+// latencies measures the programs whose first call was answered here. A program that
+// was taken over later is not measured, because the time of its first call is unknown.
 type latencies struct {
 	mutex    sync.Mutex
-	programs map[bvledger.ProgramKey]*progress
+	programs map[bvledger.ProgramKey]*programTimes
 	pruneAt  int
 }
 
-// progress is when a program's first call came and its last answer went.
-type progress struct {
-	began    bvclock.Time
-	answered bvclock.Time
+// programTimes holds the times of a program's first call and last answer.
+type programTimes struct {
+	firstCallAt  bvclock.Time
+	lastAnswerAt bvclock.Time
 }
 
-// answer notes the answer of a call that came at began. It reports whether
-// the programs should be pruned.
-func (latencies *latencies) answer(key bvledger.ProgramKey, turn int32, began, now bvclock.Time) bool {
+// recordAnswer records the answer to a call that was submitted at submittedAt. It reports
+// whether the programs should be pruned.
+func (latencies *latencies) recordAnswer(key bvledger.ProgramKey, turn int32, submittedAt, now bvclock.Time) bool {
 	latencies.mutex.Lock()
 	defer latencies.mutex.Unlock()
 	found := latencies.programs[key]
 	switch {
 	case found != nil:
-		found.answered = now
+		found.lastAnswerAt = now
 	case turn == 1:
 		if latencies.programs == nil {
-			latencies.programs = make(map[bvledger.ProgramKey]*progress)
+			latencies.programs = make(map[bvledger.ProgramKey]*programTimes)
 		}
-		latencies.programs[key] = &progress{began: began, answered: now}
+		latencies.programs[key] = &programTimes{firstCallAt: submittedAt, lastAnswerAt: now}
 	}
-	return len(latencies.programs) > max(latencies.pruneAt, pruneFloor)
+	return len(latencies.programs) > max(latencies.pruneAt, minPruneSize)
 }
 
-// end forgets an ended program and returns its latency, if it was measured.
-func (latencies *latencies) end(key bvledger.ProgramKey) (latency bvclock.Duration, measured bool) {
+// takeLatency deletes an ended program and returns its latency, if it was measured.
+func (latencies *latencies) takeLatency(key bvledger.ProgramKey) (latency bvclock.Duration, measured bool) {
 	latencies.mutex.Lock()
 	defer latencies.mutex.Unlock()
 	found := latencies.programs[key]
@@ -64,10 +63,10 @@
 		return 0, false
 	}
 	delete(latencies.programs, key)
-	return found.answered.Sub(found.began), true
+	return found.lastAnswerAt.Sub(found.firstCallAt), true
 }
 
-// prune forgets the programs that are no longer held. Without it, each program
+// prune deletes the programs that this host no longer holds. Without it, each program
 // that was handed over would stay in memory.
 func (latencies *latencies) prune(held func(bvledger.ProgramKey) bool) {
 	latencies.mutex.Lock()
@@ -80,16 +79,16 @@
 	latencies.pruneAt = 2 * len(latencies.programs)
 }
 
-// answered measures a call that got its answer.
-func (session *session) answered(turn int32, repeated bool) {
+// observeAnswer records the latency of a call that was answered.
+func (session *session) observeAnswer(turn int32, repeated bool) {
 	owner := session.owner
 	if session.call == nil || repeated {
 		return
 	}
 	now := owner.parts.Clock.Now()
-	owner.measure.Observe("call_latency", now.Sub(session.began))
+	owner.metrics.Observe("call_latency", now.Sub(session.submittedAt))
 	key := bvledger.ProgramKey{Member: session.call.GetMember(), Program: session.call.GetProgram()}
-	if !owner.latencies.answer(key, turn, session.began, now) {
+	if !owner.latencies.recordAnswer(key, turn, session.submittedAt, now) {
 		return
 	}
 	owner.mutex.Lock()
@@ -100,9 +99,9 @@
 	})
 }
 
-// programEnded measures a program that has ended.
-func (owner *Owner) programEnded(key bvledger.ProgramKey) {
-	if latency, measured := owner.latencies.end(key); measured {
-		owner.measure.Observe("program_latency", latency)
+// observeProgramEnd records the latency of a program that has ended.
+func (owner *Owner) observeProgramEnd(key bvledger.ProgramKey) {
+	if latency, measured := owner.latencies.takeLatency(key); measured {
+		owner.metrics.Observe("program_latency", latency)
 	}
 }
--- a/bvowner/latency_test.go
+++ b/bvowner/latency_test.go
@@ -12,32 +12,32 @@
 func TestProgramsLatencyIsFromItsFirstCallToItsLastAnswer(t *testing.T) {
 	latencies := &latencies{}
 	key := bvledger.ProgramKey{Member: "piran", Program: "p"}
-	latencies.answer(key, 1, 100, 400)
-	latencies.answer(key, 2, 1000, 1600)
-	latency, measured := latencies.end(key)
+	latencies.recordAnswer(key, 1, 100, 400)
+	latencies.recordAnswer(key, 2, 1000, 1600)
+	latency, measured := latencies.takeLatency(key)
 	require.True(t, measured)
 	require.Equal(t, 1500*bvclock.Millisecond, latency)
-	_, again := latencies.end(key)
+	_, again := latencies.takeLatency(key)
 	require.False(t, again, "ended twice")
 }
 
-// Guards against programs that look fast since they were taken over.
+// Guards against too short latencies of programs that were taken over.
 func TestProgramThatWasTakenOverIsNotMeasured(t *testing.T) {
 	latencies := &latencies{}
 	key := bvledger.ProgramKey{Member: "piran", Program: "p"}
-	latencies.answer(key, 3, 100, 400)
-	_, measured := latencies.end(key)
+	latencies.recordAnswer(key, 3, 100, 400)
+	_, measured := latencies.takeLatency(key)
 	require.False(t, measured)
 }
 
-// Guards against programs of other hosts that stay in memory for ever.
-func TestProgramsThatAreGoneDoNotPileUp(t *testing.T) {
+// Guards against programs of other hosts that stay in memory indefinitely.
+func TestProgramsOfOtherHostsArePruned(t *testing.T) {
 	latencies := &latencies{}
-	for i := range 10 * pruneFloor {
+	for i := range 10 * minPruneSize {
 		key := bvledger.ProgramKey{Member: "piran", Program: string(rune(i))}
-		if latencies.answer(key, 1, 0, 1) {
+		if latencies.recordAnswer(key, 1, 0, 1) {
 			latencies.prune(func(bvledger.ProgramKey) bool { return false })
 		}
 	}
-	require.LessOrEqual(t, len(latencies.programs), pruneFloor)
+	require.LessOrEqual(t, len(latencies.programs), minPruneSize)
 }
--- a/bvowner/owner.go
+++ b/bvowner/owner.go
@@ -1,11 +1,10 @@
-// Package bvowner runs the programs that this host owns. It feeds calls and
-// outcomes into a bvledger.Ledger and carries out what the ledger wants: rows
-// read and written, calls started, callers answered, caches released.
+// Package bvowner runs the programs that this host owns. It feeds calls and outcomes into
+// a bvledger.Ledger and carries out the ledger's effects: it reads and writes rows, starts
+// calls, answers callers and releases caches.
 //
 // # Usage
 //
-//	owner := bvowner.New(name, clock, store, permits, endpoints, limits, log)
-//	go owner.Commit(ctx)
+//	owner := bvowner.New(incarnation, bvowner.Parts{Clock: clock, Store: store, ...})
 //	err := owner.Run(ctx, call, send)
 package bvowner
 
@@ -41,22 +40,22 @@
 	Release(ctx context.Context, address, salt, prefix string) error
 }
 
-// Rows is the operators' table in force on this host.
+// Table is the operators' table in force on this host.
 type Table interface {
-	// Row returns the row of a call, or the refusal of a call that has none.
+	// Row returns the row of a call, or a refusal if the call has no row.
 	Row(member, class string) (bvtable.Row, error)
 }
 
-// Addresses finds endpoints by name.
+// EndpointList finds endpoints by name.
 type EndpointList interface {
 	Endpoint(name string) (bvplatform.Endpoint, bool)
 	// Engines returns the names of all model engines.
 	Engines() []string
-	// Gone reports whether an endpoint and all that it held is no more.
+	// IsGone reports whether an endpoint has been removed and all data on it is lost.
 	IsGone(name string) bool
 }
 
-// Parts are what an owner works with.
+// Parts are the dependencies of an owner.
 type Parts struct {
 	Clock        bvclock.Clock
 	Store        bvplatform.Store
@@ -72,7 +71,7 @@
 // Owner runs programs. It is safe for concurrent use.
 type Owner struct {
 	parts    Parts
-	measure  Metrics
+	metrics  Metrics
 	mutex    sync.Mutex
 	ledger   *bvledger.Ledger
 	sessions map[bvledger.CallID]*session
@@ -83,22 +82,22 @@
 	latencies latencies
 }
 
-// New returns an owner; incarnation names this process and no other.
+// New returns an owner; incarnation is unique to this process.
 func New(incarnation string, parts Parts) *Owner {
-	measure := parts.Metrics
-	if measure == nil {
-		measure = noMeasure{}
+	metrics := parts.Metrics
+	if metrics == nil {
+		metrics = noMetrics{}
 	}
 	return &Owner{
 		parts:    parts,
-		measure:  measure,
+		metrics:  metrics,
 		ledger:   bvledger.New(incarnation),
 		sessions: make(map[bvledger.CallID]*session),
 	}
 }
 
-// do applies an event to the ledger and carries out what it then wants.
-func (owner *Owner) do(event func(now bvclock.Time)) {
+// apply applies an event to the ledger and carries out the resulting effects.
+func (owner *Owner) apply(event func(now bvclock.Time)) {
 	owner.mutex.Lock()
 	now := owner.parts.Clock.Now()
 	event(now)
@@ -106,28 +105,28 @@
 	owner.schedule(now)
 	owner.mutex.Unlock()
 	for _, effect := range effects {
-		owner.carryOut(effect)
+		owner.execute(effect)
 	}
 }
 
-// schedule arranges the tick that time alone calls for.
+// schedule sets the alarm for the next tick that is due without an event.
 func (owner *Owner) schedule(now bvclock.Time) {
 	next, ok := owner.ledger.Next()
 	if !ok {
 		owner.alarm.Clear()
 		return
 	}
-	owner.alarm.Set(now, next, func() { owner.do(func(bvclock.Time) {}) })
+	owner.alarm.Set(now, next, func() { owner.apply(func(bvclock.Time) {}) })
 }
 
-func (owner *Owner) carryOut(effect bvledger.Effect) {
+func (owner *Owner) execute(effect bvledger.Effect) {
 	switch effect := effect.(type) {
 	case bvledger.Load:
-		go owner.load(effect)
+		go owner.loadProgram(effect)
 	case bvledger.Commit:
 		owner.parts.Committer.Add(effect.Entry)
 	case bvledger.Release:
-		go owner.release(effect)
+		go owner.releaseProgram(effect)
 	case bvledger.Start:
 		owner.deliver(effect.Call, effect)
 	case bvledger.Answer:
@@ -139,13 +138,13 @@
 	}
 }
 
-// Committed tells the ledger the outcome of an entry.
+// ReportCommit reports the outcome of an entry's commit to the ledger.
 func (owner *Owner) ReportCommit(id bvledger.EntryID, version int64, err error) {
-	owner.do(func(now bvclock.Time) { owner.ledger.HandleCommit(now, id, version, err) })
+	owner.apply(func(now bvclock.Time) { owner.ledger.HandleCommit(now, id, version, err) })
 }
 
-// Run runs one call. Its events go to send; its error is a *bvverdict.Error.
-// When ctx ends, a call that has started goes on and its answer is kept.
+// Run runs one call. Its events go to send; its error is a *bvverdict.Error. When ctx
+// ends, a call that has started continues and its answer is persisted.
 func (owner *Owner) Run(ctx context.Context, call *bvpeer.Call, send func(*bvpeer.CallEvent) error) error {
 	ctx, span := bvtrace.Start(ctx, "session")
 	span.SetProgram(call.GetMember(), call.GetProgram())
@@ -156,40 +155,40 @@
 }
 
 func (owner *Owner) runSession(ctx context.Context, call *bvpeer.Call, send func(*bvpeer.CallEvent) error) error {
-	session, err := owner.open(ctx, call)
+	session, err := owner.openSession(ctx, call)
 	if err != nil {
 		return err
 	}
 	return session.forward(ctx, send)
 }
 
-// Fetch returns the kept answer of a request.
+// Fetch returns the persisted answer of a request.
 func (owner *Owner) Fetch(ctx context.Context, member, program, request string) ([]byte, error) {
 	key := bvledger.ProgramKey{Member: member, Program: program}
-	finished, err := owner.ask(ctx, func(now bvclock.Time, id bvledger.CallID) {
+	finished, err := owner.runQuery(ctx, func(now bvclock.Time, id bvledger.CallID) {
 		owner.ledger.Fetch(now, id, key, request)
 	})
 	return finished.GetAnswer(), err
 }
 
-// EndProgram ends a program, durably.
+// EndProgram ends a program durably.
 func (owner *Owner) EndProgram(ctx context.Context, member, program string) error {
 	key := bvledger.ProgramKey{Member: member, Program: program}
-	_, err := owner.ask(ctx, func(now bvclock.Time, id bvledger.CallID) {
+	_, err := owner.runQuery(ctx, func(now bvclock.Time, id bvledger.CallID) {
 		owner.ledger.End(now, key, id)
 	})
 	if err == nil {
-		owner.programEnded(key)
+		owner.observeProgramEnd(key)
 	}
 	return err
 }
 
-// ask enters something that runs nothing and waits for the outcome.
-func (owner *Owner) ask(ctx context.Context, enter func(now bvclock.Time, id bvledger.CallID)) (*bvpeer.Finished, error) {
+// runQuery submits a ledger operation that runs no call, and waits for the outcome.
+func (owner *Owner) runQuery(ctx context.Context, submit func(now bvclock.Time, id bvledger.CallID)) (*bvpeer.Finished, error) {
 	session := newSession(owner, nil)
-	owner.do(func(now bvclock.Time) {
+	owner.apply(func(now bvclock.Time) {
 		owner.register(session)
-		enter(now, session.id)
+		submit(now, session.id)
 	})
 	var finished *bvpeer.Finished
 	err := session.forward(ctx, func(event *bvpeer.CallEvent) error {
@@ -199,41 +198,41 @@
 	return finished, err
 }
 
-// Leave makes the owner decline programs that it has no call of, and hand its
-// programs over, each as soon as nothing of it is under way.
+// Leave makes the owner decline programs without a call here, and hand over each of its
+// programs as soon as the program has no calls in flight.
 func (owner *Owner) Leave() {
-	owner.do(func(now bvclock.Time) {
+	owner.apply(func(now bvclock.Time) {
 		owner.leaving = true
 		owner.ledger.Leave(now)
 	})
 }
 
-// Left reports whether every program has been handed over.
+// HasLeft reports whether every program has been handed over.
 func (owner *Owner) HasLeft() bool {
 	owner.mutex.Lock()
 	defer owner.mutex.Unlock()
 	return owner.ledger.Programs() == 0
 }
 
-// Programs returns how many programs of a member this host holds.
+// ProgramCount returns how many programs of a member this host holds.
 func (owner *Owner) ProgramCount(member string) int {
 	owner.mutex.Lock()
 	defer owner.mutex.Unlock()
 	return owner.ledger.ProgramsOf(member)
 }
 
-// Reclaim ends programs that nobody ends: rows are all head rows, and live
-// tells whether the owner of a row still runs.
+// ReclaimPrograms ends abandoned programs: rows are all head rows, and live reports
+// whether the owner of a row still runs.
 func (owner *Owner) ReclaimPrograms(rows []bvplatform.Row, live func(owner string) bool) {
-	owner.do(func(now bvclock.Time) { owner.ledger.ReclaimScan(now, rows, live, longestIdle) })
+	owner.apply(func(now bvclock.Time) { owner.ledger.ReclaimScan(now, rows, live, defaultIdleLimit) })
 }
 
-// longestIdle is after which a program counts as lost whose row of the
-// operators' table sets no idle time.
-const longestIdle = 24 * bvclock.Hour
+// defaultIdleLimit is the idle time after which a program counts as abandoned if its
+// row of the operators' table sets no idle time.
+const defaultIdleLimit = 24 * bvclock.Hour
 
-// busy reports whether a program has calls under way here.
-func (owner *Owner) busy(member, program string) bool {
+// hasCalls reports whether a program has calls in flight here.
+func (owner *Owner) hasCalls(member, program string) bool {
 	for _, session := range owner.sessions {
 		if session.call.GetMember() == member && session.call.GetProgram() == program {
 			return true
@@ -242,7 +241,7 @@
 	return false
 }
 
-// Idle reports whether no call is under way.
+// IsIdle reports whether no call is in flight.
 func (owner *Owner) IsIdle() bool {
 	owner.mutex.Lock()
 	defer owner.mutex.Unlock()
@@ -266,12 +265,12 @@
 	session := owner.sessions[id]
 	owner.mutex.Unlock()
 	if session != nil {
-		session.take(effect)
+		session.handleEffect(effect)
 	}
 }
 
-// open enters a call at the ledger.
-func (owner *Owner) open(ctx context.Context, call *bvpeer.Call) (*session, error) {
+// openSession submits a call to the ledger.
+func (owner *Owner) openSession(ctx context.Context, call *bvpeer.Call) (*session, error) {
 	row, err := owner.parts.Table.Row(call.GetMember(), call.GetClass())
 	if err != nil {
 		return nil, err
@@ -280,15 +279,15 @@
 	session.row = row
 	session.context = context.WithoutCancel(ctx)
 	declined := false
-	owner.do(func(now bvclock.Time) {
-		if owner.leaving && !owner.busy(call.GetMember(), call.GetProgram()) {
+	owner.apply(func(now bvclock.Time) {
+		if owner.leaving && !owner.hasCalls(call.GetMember(), call.GetProgram()) {
 			declined = true
 			return
 		}
-		session.began = now
+		session.submittedAt = now
 		session.deadline = deadlineOf(now, call)
 		owner.register(session)
-		session.enter("order")
+		session.startSpan("order")
 		owner.ledger.Submit(now, session.ledgerCall())
 	})
 	if declined {
--- a/bvowner/release.go
+++ b/bvowner/release.go
@@ -9,14 +9,14 @@
 	"balsamvalve.example/bvtrace"
 )
 
-// releaseTimeout bounds one order to one endpoint; the ledger repeats it.
+// releaseTimeout bounds one round of releases for a program; the ledger repeats it.
 const releaseTimeout = 3 * bvclock.Second
 
-// release tells the endpoints that hold an ended program's cache to drop it.
-func (owner *Owner) release(released bvledger.Release) {
+// releaseProgram releases an ended program's cache on the endpoints that hold it.
+func (owner *Owner) releaseProgram(released bvledger.Release) {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout.Std())
 	defer cancel()
-	owner.programEnded(released.Key)
+	owner.observeProgramEnd(released.Key)
 	for _, name := range released.Endpoints {
 		done := false
 		if name == bvledger.AnyEndpoint {
@@ -25,17 +25,17 @@
 			done = owner.releaseAt(ctx, released.Key, name)
 		}
 		if done {
-			owner.do(func(now bvclock.Time) { owner.ledger.ConfirmRelease(now, released.Key, name) })
+			owner.apply(func(now bvclock.Time) { owner.ledger.ConfirmRelease(now, released.Key, name) })
 		}
 	}
 }
 
-// releaseEverywhere reports whether no endpoint holds anything of the program
-// any more.
+// releaseEverywhere reports whether no endpoint holds a cache of the program any
+// longer.
 func (owner *Owner) releaseEverywhere(ctx context.Context, key bvledger.ProgramKey) bool {
 	engines := owner.parts.EndpointList.Engines()
 	if len(engines) == 0 {
-		return owner.parts.EndpointList.IsGone(bvledger.AnyEndpoint) // or no list has come yet
+		return owner.parts.EndpointList.IsGone(bvledger.AnyEndpoint) // the list may be empty because none was received yet
 	}
 	all := true
 	for _, endpoint := range engines {
@@ -44,8 +44,8 @@
 	return all
 }
 
-// releaseAt reports whether the endpoint holds nothing of the program any
-// more. One that is gone has lost its memory.
+// releaseAt reports whether the endpoint no longer holds a cache of the program. An
+// endpoint that is gone has lost its memory.
 func (owner *Owner) releaseAt(ctx context.Context, key bvledger.ProgramKey, name string) bool {
 	endpoint, found := owner.parts.EndpointList.Endpoint(name)
 	if !found {
@@ -53,10 +53,10 @@
 	}
 	owner.parts.Permits.EndProgram(ctx, bvpermit.PoolOf(endpoint), key.Member, key.Program)
 	err := owner.parts.Endpoints.Release(ctx, endpoint.Address, key.Member, key.Program)
-	owner.measure.Add("releases", 1)
+	owner.metrics.Add("releases", 1)
 	if err != nil {
-		owner.measure.Add("releases_failed", 1)
+		owner.metrics.Add("releases_failed", 1)
 	}
-	bvtrace.LogHop(ctx, owner.parts.Log, "cache release asked for", err, "endpoint", name)
+	bvtrace.LogHop(ctx, owner.parts.Log, "cache release requested", err, "endpoint", name)
 	return err == nil
 }
--- a/bvowner/resume.go
+++ b/bvowner/resume.go
@@ -9,17 +9,16 @@
 	"balsamvalve.example/bvverdict"
 )
 
-// resume takes over the stream of an owner that was lost while its caller was
-// reading. The endpoint still has the stream, so nothing runs twice and the
-// caller gets the rest of the same answer. It reports false when the call has
-// to be run anew.
+// resume takes over the stream of an owner that was lost while its caller was reading.
+// The endpoint still has the stream, so the call does not run twice and the caller gets
+// the rest of the same answer. It reports false if the call must run again.
 func (session *session) resume(ctx context.Context, start bvledger.Start) (bvledger.Result, bool) {
 	position := session.call.GetResume()
 	endpoint, found := session.owner.parts.EndpointList.Endpoint(position.GetEndpoint())
 	if !found || session.call.GetModel() == nil {
-		return session.lostStream()
+		return session.handleLostStream()
 	}
-	permit := session.owner.parts.Permits.Adopt(ctx, session.ask(start), endpoint.Name, endpoint.Address)
+	permit := session.owner.parts.Permits.Adopt(ctx, session.permitRequest(start), endpoint.Name, endpoint.Address)
 	call := bvendpoint.ChatCall{Stream: position.GetStream(), Salt: session.call.GetMember(), Prefix: session.call.GetProgram()}
 	session.emit(startedEvent(endpoint.Name, call.Stream))
 	ctx, span := bvtrace.Start(ctx, "endpoint")
@@ -29,28 +28,29 @@
 		return nil
 	})
 	span.End(err)
-	finish(permit, answer, err)
+	reportFinish(permit, answer, err)
 	if err != nil {
-		return session.lostStream()
+		return session.handleLostStream()
 	}
-	session.owner.measure.Add("resumed_streams", 1)
+	session.owner.metrics.Add("resumed_streams", 1)
 	result := bvledger.Result{
 		Spent:    int64(answer.PromptTokens) + int64(answer.OutputTokens),
 		Endpoint: endpoint.Name,
 	}
-	return session.complete(result, session.call.GetModel().GetModel(), answer), true
+	return session.buildResult(result, session.call.GetModel().GetModel(), answer), true
 }
 
-// lostStream decides about a call whose stream can't be taken over. A caller
-// that has read a part of one answer must not get the rest of another.
-func (session *session) lostStream() (bvledger.Result, bool) {
+// handleLostStream decides on a call whose stream can't be taken over. A caller that
+// has received part of one answer must not get the rest of another.
+func (session *session) handleLostStream() (bvledger.Result, bool) {
 	if session.call.GetStreaming() && session.call.GetResume().GetOffset() > 0 {
 		err := bvverdict.New(bvverdict.MayHaveRun, bvverdict.EndpointFailed,
-			"the answer was cut; send the same request again").WithRetryAfter(retryAfterCut)
-		return failed(err), true
+			"answer stream was interrupted; send the same request again").WithRetryAfter(retryAfterCut)
+		return failedResult(err), true
 	}
 	return bvledger.Result{}, false
 }
 
-// retryAfterCut is when a caller whose answer was cut may come back: at once.
+// retryAfterCut is the retry time for a caller whose answer was interrupted:
+// immediately.
 const retryAfterCut = 1
--- a/bvowner/session.go
+++ b/bvowner/session.go
@@ -12,31 +12,31 @@
 	"balsamvalve.example/bvverdict"
 )
 
-// session is one call between its caller's stream and the ledger.
+// session connects one call's caller stream to the ledger.
 type session struct {
-	owner    *Owner
-	id       bvledger.CallID
-	call     *bvpeer.Call
-	row      bvtable.Row
-	began    bvclock.Time
-	deadline bvclock.Time
-	context  context.Context // of the run, which outlives the caller's
-
-	mutex  sync.Mutex
-	events []*bvpeer.CallEvent
-	wake   chan struct{}
-	err    error
-	done   bool
-	gone   bool // the caller went away
-	abort  context.CancelFunc
-	span   bvtrace.Span // of what it waits for or does
+	owner       *Owner
+	id          bvledger.CallID
+	call        *bvpeer.Call
+	row         bvtable.Row
+	submittedAt bvclock.Time
+	deadline    bvclock.Time
+	context     context.Context // of the run, which outlives the caller's stream
+
+	mutex      sync.Mutex
+	events     []*bvpeer.CallEvent
+	wake       chan struct{}
+	err        error
+	done       bool
+	callerGone bool // the caller disconnected
+	cancelRun  context.CancelFunc
+	span       bvtrace.Span // of the current phase
 }
 
 func newSession(owner *Owner, call *bvpeer.Call) *session {
 	return &session{owner: owner, call: call, wake: make(chan struct{}, 1)}
 }
 
-// ledgerCall translates the call for the ledger.
+// ledgerCall converts the call for the ledger.
 func (session *session) ledgerCall() bvledger.Call {
 	call := session.call
 	return bvledger.Call{
@@ -61,10 +61,10 @@
 	return bvledger.Limits{Budget: row.Budget, Turns: row.Turns, Idle: row.Idle}
 }
 
-// serviceCost is what a call of a plain service costs, in work units.
+// serviceCost is the cost of a plain service call, in work units.
 const serviceCost = 1
 
-// historyCostOf is what a byte of the kept history adds to a call's cost.
+// historyCostOf is the cost per byte of the persisted history.
 func historyCostOf(call *bvpeer.Call) int64 {
 	if call.GetModel() == nil || call.GetFullHistory() {
 		return 0
@@ -72,9 +72,8 @@
 	return 1
 }
 
-// costOf bounds what a call can spend, in tokens. A token is at least one
-// byte, so the bytes of the prompt bound its tokens; the ledger adds those of
-// the history.
+// costOf is the upper bound of a call's cost in tokens. A token is at least one byte,
+// so the bytes of the prompt bound its tokens; the ledger adds those of the history.
 func costOf(call *bvpeer.Call) int64 {
 	model := call.GetModel()
 	if model == nil {
@@ -83,8 +82,8 @@
 	return int64(len(model.GetMessages())) + int64(model.GetMaxTokens())
 }
 
-// enter ends the span of what the call did up to now and begins the next.
-func (session *session) enter(name string) context.Context {
+// startSpan ends the span of the call's previous phase and starts the next.
+func (session *session) startSpan(name string) context.Context {
 	session.mutex.Lock()
 	defer session.mutex.Unlock()
 	session.span.End(nil)
@@ -93,11 +92,11 @@
 	return ctx
 }
 
-// take takes over what the ledger decided for the call.
-func (session *session) take(effect bvledger.Effect) {
+// handleEffect carries out the ledger's decision on the call.
+func (session *session) handleEffect(effect bvledger.Effect) {
 	switch effect := effect.(type) {
 	case bvledger.Start:
-		go session.start(effect)
+		go session.execute(effect)
 	case bvledger.Answer:
 		session.finish(&bvpeer.Finished{
 			Answer:   effect.Answer,
@@ -107,12 +106,12 @@
 	case bvledger.Refuse:
 		session.fail(effect.Err)
 	case bvledger.Abort:
-		session.stop()
+		session.abortRun()
 	}
 }
 
 func (session *session) finish(finished *bvpeer.Finished) {
-	session.answered(finished.GetTurn(), finished.GetRepeated())
+	session.observeAnswer(finished.GetTurn(), finished.GetRepeated())
 	session.push(&bvpeer.CallEvent{Event: &bvpeer.CallEvent_Finished{Finished: finished}}, true, nil)
 	session.owner.unregister(session.id)
 }
@@ -122,16 +121,16 @@
 	session.owner.unregister(session.id)
 }
 
-func (session *session) stop() {
+func (session *session) abortRun() {
 	session.mutex.Lock()
 	defer session.mutex.Unlock()
-	if session.abort != nil {
-		session.abort()
+	if session.cancelRun != nil {
+		session.cancelRun()
 	}
 }
 
-// emit hands an event to the caller's stream. It never blocks: a caller that
-// reads slowly must not hold up the endpoint, nor the end of the call.
+// emit queues an event for the caller's stream. It never blocks: a caller that reads
+// slowly must delay neither the endpoint nor the end of the call.
 func (session *session) emit(event *bvpeer.CallEvent) {
 	session.push(event, false, nil)
 }
@@ -142,7 +141,7 @@
 	if session.done {
 		return
 	}
-	if event != nil && !session.gone {
+	if event != nil && !session.callerGone {
 		session.events = append(session.events, event)
 	}
 	if done {
@@ -156,13 +155,13 @@
 	}
 }
 
-// forward sends events until the call has ended or the caller has gone.
+// forward sends events until the call has ended or the caller has disconnected.
 func (session *session) forward(ctx context.Context, send func(*bvpeer.CallEvent) error) error {
 	for {
-		events, done, err := session.drain()
+		events, done, err := session.takeEvents()
 		for _, event := range events {
 			if err := send(event); err != nil {
-				session.leave()
+				session.markCallerGone()
 				return err
 			}
 		}
@@ -172,13 +171,13 @@
 		select {
 		case <-session.wake:
 		case <-ctx.Done():
-			session.leave()
-			return bvverdict.New(bvverdict.MayHaveRun, bvverdict.Canceled, "the caller went away").WithCause(ctx.Err())
+			session.markCallerGone()
+			return bvverdict.New(bvverdict.MayHaveRun, bvverdict.Canceled, "caller disconnected").WithCause(ctx.Err())
 		}
 	}
 }
 
-func (session *session) drain() (events []*bvpeer.CallEvent, done bool, err error) {
+func (session *session) takeEvents() (events []*bvpeer.CallEvent, done bool, err error) {
 	session.mutex.Lock()
 	defer session.mutex.Unlock()
 	events = session.events
@@ -186,16 +185,16 @@
 	return events, session.done, session.err
 }
 
-// leave notes that the caller went away; what is under way goes on.
-func (session *session) leave() {
+// markCallerGone records that the caller disconnected; the running call continues.
+func (session *session) markCallerGone() {
 	session.mutex.Lock()
 	defer session.mutex.Unlock()
-	session.gone = true
+	session.callerGone = true
 	session.events = nil
 }
 
-func (session *session) isGone() bool {
+func (session *session) isCallerGone() bool {
 	session.mutex.Lock()
 	defer session.mutex.Unlock()
-	return session.gone
+	return session.callerGone
 }
