--- a/bvforward/send.go
+++ b/bvforward/send.go
@@ -110,9 +110,9 @@
 		"endpoint %s sent answers to other requests", request.Endpoint.Name)
 }
 
-// belongsTo reports whether the answer has the request's ID. A faulty endpoint may send
-// a late second answer where the next request's answer is expected; only the ID
-// distinguishes them.
+// belongsTo reports whether the answer has the request's ID; only answers without
+// success may lack it. A faulty endpoint may send a late second answer where the next
+// request's answer is expected; only the ID distinguishes them.
 func (response *Response) belongsTo(request *Request) bool {
 	if response.Answer.ID == "" {
 		return response.Status >= http.StatusMultipleChoices
--- a/bvfront/front.go
+++ b/bvfront/front.go
@@ -42,7 +42,7 @@
 	// SetWorkspace replaces the caller's key by the name of the workspace; an empty name
 	// only removes the headers that the caller sent.
 	SetWorkspace(header http.Header, name string)
-	PrepareCall(header http.Header, endpoint string, left bvclock.Duration)
+	PrepareCall(header http.Header, endpoint string, remaining bvclock.Duration)
 	// IsProtected reports whether a header must be forwarded even if the Connection
 	// header names it.
 	IsProtected(name string) bool
@@ -100,10 +100,10 @@
 // Histories persists conversations.
 type Histories interface {
 	Chain(ctx context.Context, program, parent string) (bvhistory.Chain, error)
-	Add(ctx context.Context, chain bvhistory.Chain, said bvhistory.FinishedTurn) error
+	Add(ctx context.Context, chain bvhistory.Chain, turn bvhistory.FinishedTurn) error
 }
 
-// Quotas holds workspaces to their usage caps.
+// Quotas enforces the usage caps of workspaces.
 type Quotas interface {
 	// Take grants or refuses a request. Ask means that no decision is possible now.
 	Take(request bvquota.Request) bvquota.Decision
@@ -132,7 +132,7 @@
 	// Memory bounds the bytes that all calls hold at once, of requests and of answers;
 	// 0 means no bound.
 	Memory int64
-	// Without are mechanisms that are switched off, for experiments.
+	// Without has the mechanisms that are switched off for experiments.
 	Without bvmechanism.Set
 }
 
--- a/bvfront/memory.go
+++ b/bvfront/memory.go
@@ -42,17 +42,17 @@
 
 // acquireStreamMemory acquires memory for the buffered parts of the stream.
 func (call *call) acquireStreamMemory() error {
-	kept := int64(len(call.stream.pending) + len(call.stream.data))
-	if kept > maxEventBytes {
+	buffered := int64(len(call.stream.pending) + len(call.stream.data))
+	if buffered > maxEventBytes {
 		return call.brokenAnswerError("an event of the stream is too large", nil)
 	}
-	grown := kept - call.streamBytes
+	grown := buffered - call.streamBytes
 	if grown <= 0 {
 		return nil
 	}
 	if !call.acquireMemory(grown) {
 		return call.brokenAnswerError("no memory is left for the stream", nil)
 	}
-	call.streamBytes = kept
+	call.streamBytes = buffered
 	return nil
 }
--- a/bvfront/workspace_test.go
+++ b/bvfront/workspace_test.go
@@ -50,10 +50,10 @@
 // Guards against callers that exhaust their attempts before an outage ends.
 func TestRetryAfterIsLongerInAnOutage(t *testing.T) {
 	state := fixedState{Table: keyedTable(t, 1, bvroute.DigestKey("key"))}
-	soon := bvverdict.From(authorizeInOutage(t, state, 0)).RetryAfter()
-	late := bvverdict.From(authorizeInOutage(t, state, bvclock.Second)).RetryAfter()
-	require.Equal(t, confirmRetry, soon)
-	require.EqualValues(t, 990, late)
+	withStore := bvverdict.From(authorizeInOutage(t, state, 0)).RetryAfter()
+	inOutage := bvverdict.From(authorizeInOutage(t, state, bvclock.Second)).RetryAfter()
+	require.Equal(t, confirmRetry, withStore)
+	require.EqualValues(t, 990, inOutage)
 }
 
 // Guards against a key that is accepted although it may have been revoked.
--- a/bvrouter/confirm.go
+++ b/bvrouter/confirm.go
@@ -95,11 +95,11 @@
 			continue
 		}
 		if confirmed.table != nil {
-			router.apply(confirmed.table)
+			router.applyTable(confirmed.table)
 		}
 		// The other host states the age at a time after the request was sent, so a slow
 		// transfer or a suspension makes the state look older here, never younger.
-		router.state.noteConfirmed(requestedAt.Add(-confirmed.age))
+		router.state.recordConfirmation(requestedAt.Add(-confirmed.age))
 		return confirmed.age, true
 	}
 	return 0, false
@@ -146,7 +146,7 @@
 		Age  bvclock.Duration
 		Rows *bvroute.Rows
 	}
-	_, err := fetch(ctx, address, "/routes?after="+strconv.FormatInt(after, 10), limit, &answer)
+	_, err := fetchJSON(ctx, address, "/routes?after="+strconv.FormatInt(after, 10), limit, &answer)
 	if err != nil {
 		return confirmedState{}, err
 	}
--- a/bvrouter/confirm_test.go
+++ b/bvrouter/confirm_test.go
@@ -28,7 +28,7 @@
 	clock := &bvclock.Manual{}
 	clock.Advance(bvclock.Minute)
 	router := &Router{clock: clock, log: silentLogger(), state: &state{clock: clock}}
-	router.state.noteConfirmed(clock.Now())
+	router.state.recordConfirmation(clock.Now())
 	clock.Advance(4 * bvclock.Second)
 	require.True(t, router.refreshRoutes(t.Context(), []string{confirmingHost(t, 5*bvclock.Second)}))
 	age, _ := router.state.Age()
@@ -39,7 +39,7 @@
 	require.False(t, router.refreshRoutes(t.Context(), nil))
 }
 
-func TestHostsThatLeaveAreNotDrawn(t *testing.T) {
+func TestLeavingHostsAreNotSelected(t *testing.T) {
 	digests := []*bvgossip.Digest{{Address: "a", Leaving: true}, {Address: "b"}, {Address: "c"}}
 	staying := func(digest *bvgossip.Digest) bool { return !digest.GetLeaving() }
 	require.ElementsMatch(t, []string{"b", "c"}, selectRandom(digests, 5, staying))
@@ -61,7 +61,7 @@
 	for i := range states {
 		states[i] = &state{clock: clock, apply: apply, revoke: revoke}
 		states[i].replace(table)
-		states[i].noteConfirmed(1 + bvclock.Time(i)*bvclock.Time(stateWait(apply))/bvclock.Time(hosts))
+		states[i].recordConfirmation(1 + bvclock.Time(i)*bvclock.Time(stateWait(apply))/bvclock.Time(hosts))
 	}
 	clock.Advance(1 + stateWait(apply))
 	confirmed, checks := 0, 0
@@ -70,7 +70,7 @@
 		for _, state := range states {
 			if age, _ := state.Age(); asksOthers && age > maxConfirmedAge(apply, revoke) && age < revoke {
 				_, age, _ := states[random.IntN(hosts)].Confirmed()
-				state.noteConfirmed(clock.Now().Add(-age))
+				state.recordConfirmation(clock.Now().Add(-age))
 			}
 			if checks++; state.View().KeysConfirmed {
 				confirmed++
--- a/bvrouter/endpoint_follow.go
+++ b/bvrouter/endpoint_follow.go
@@ -177,7 +177,7 @@
 			Age     bvclock.Duration
 			Changes bvplatform.EndpointChanges
 		}
-		_, err = fetch(ctx, address, path, sourceTimeout, &answer)
+		_, err = fetchJSON(ctx, address, path, sourceTimeout, &answer)
 		return answer.Age, answer.Changes, err
 	})
 }
--- a/bvrouter/follow.go
+++ b/bvrouter/follow.go
@@ -84,13 +84,13 @@
 		}
 		after = next
 		if table != nil {
-			router.apply(table)
+			router.applyTable(table)
 		}
-		router.state.noteConfirmed(requestedAt)
+		router.state.recordConfirmation(requestedAt)
 	}
 }
 
-func (router *Router) apply(table *bvroute.Table) {
+func (router *Router) applyTable(table *bvroute.Table) {
 	if router.state.replace(table) {
 		router.setCaps(table)
 		router.endpointsMutex.Lock()
--- a/bvrouter/follow_test.go
+++ b/bvrouter/follow_test.go
@@ -21,7 +21,7 @@
 	clock.Advance(1)
 	state := &state{clock: clock, apply: 2 * bvclock.Second}
 	require.False(t, state.View().UpToDate)
-	state.noteConfirmed(clock.Now())
+	state.recordConfirmation(clock.Now())
 	require.True(t, state.View().UpToDate)
 	clock.Advance(1900)
 	require.False(t, state.View().UpToDate)
@@ -34,13 +34,13 @@
 	require.Equal(t, 1400*bvclock.Millisecond, maxConfirmedAge(3*bvclock.Second, 2*bvclock.Second))
 }
 
-// Guards against keys that are accepted after a suspension by an age from before it.
+// Guards against keys that are accepted after a suspension because it is not counted.
 func TestKeysAreConfirmedForLessThanTheirBound(t *testing.T) {
 	clock := &bvclock.Manual{}
 	clock.Advance(1)
 	state := &state{clock: clock, apply: 3 * bvclock.Second, revoke: 5 * bvclock.Second}
 	require.False(t, state.View().KeysConfirmed)
-	state.noteConfirmed(clock.Now())
+	state.recordConfirmation(clock.Now())
 	clock.Advance(4500)
 	require.True(t, state.View().KeysConfirmed)
 	clock.Advance(500)
@@ -53,7 +53,7 @@
 	clock.Advance(1)
 	state := &state{clock: clock, apply: 3 * bvclock.Second}
 	require.Equal(t, stateWait(state.apply), state.nextWait(false), "before the first answer")
-	state.noteConfirmed(clock.Now())
+	state.recordConfirmation(clock.Now())
 	clock.Advance(2 * stateWait(state.apply))
 	require.Equal(t, stateWait(state.apply), state.nextWait(false))
 	clock.Advance(bvclock.Second)
@@ -91,8 +91,8 @@
 	clock := &bvclock.Manual{}
 	clock.Advance(10_000)
 	state := &state{clock: clock}
-	state.noteConfirmed(9000)
-	state.noteConfirmed(8000)
+	state.recordConfirmation(9000)
+	state.recordConfirmation(8000)
 	age, known := state.Age()
 	require.True(t, known)
 	require.Equal(t, bvclock.Second, age)
@@ -105,7 +105,7 @@
 	state := &state{clock: clock, apply: 3 * bvclock.Second}
 	requestedAt := clock.Now()
 	clock.Advance(stateWait(state.apply))
-	state.noteConfirmed(requestedAt) // the answer to a request that waited to its end without a change
+	state.recordConfirmation(requestedAt) // the answer to a request that waited to its end without a change
 	clock.Advance(stateWait(state.apply) + 20)
 	require.True(t, state.View().UpToDate)
 }
@@ -122,7 +122,7 @@
 		for version := int64(1); version <= versions; version++ {
 			table, _ := bvroute.NewTable(bvroute.Rows{Version: version}) // an empty table is valid
 			state.replace(table)
-			state.noteConfirmed(bvclock.Time(version))
+			state.recordConfirmation(bvclock.Time(version))
 		}
 	}()
 	for {
@@ -150,7 +150,7 @@
 			now := clock.Advance(between)
 			table, _ := bvroute.NewTable(bvroute.Rows{Version: version}) // an empty table is valid
 			state.replace(table)
-			state.noteConfirmed(now)
+			state.recordConfirmation(now)
 		}
 	}()
 	for {
--- a/bvrouter/gossip.go
+++ b/bvrouter/gossip.go
@@ -17,7 +17,7 @@
 	"balsamvalve.example/bvroute"
 )
 
-// openGossip opens the port for datagrams, which has the number of the one for
+// openGossip opens the UDP port for datagrams. It has the same number as the TCP port for
 // relayed calls.
 func (router *Router) openGossip() error {
 	address := router.peers.Addr().(*net.TCPAddr)
@@ -32,7 +32,8 @@
 	return nil
 }
 
-// tellHosts sends this host's digest and takes over what the others told.
+// sendDigests sends this host's digest regularly, and updates the dispatcher with the loads
+// that the other hosts have reported.
 func (router *Router) sendDigests(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause(ctx, router.gossip.Interval())
@@ -77,8 +78,8 @@
 	return digest
 }
 
-// peerLoads returns the calls of the other hosts, as they told; own is this host's
-// last digest.
+// peerLoads returns the number of calls per endpoint that other hosts have reported; own is
+// this host's last digest.
 func (router *Router) peerLoads(own *bvgossip.Digest) map[uint64]int {
 	if router.settings.Without.Has(bvmechanism.Digests) {
 		return make(map[uint64]int)
@@ -86,7 +87,7 @@
 	return router.gossip.PeerLoads(own)
 }
 
-// peerHandler takes in what other hosts send.
+// peerHandler handles the datagrams of other hosts.
 type peerHandler struct{ *Router }
 
 // LendTokens implements bvgossip.Handler.
@@ -108,11 +109,11 @@
 	handler.budgets.AcceptTokens(program, tokens, holders)
 }
 
-// lenders asks other hosts for tokens of a program's budget.
+// lenders requests tokens of a program's budget from other hosts.
 type lenders struct{ *Router }
 
 // RequestTokens implements bvbudget.Lenders.
-func (lenders lenders) RequestTokens(ctx context.Context, host string, want bvbudget.TokenRequest) (asked, answered bool) {
+func (lenders lenders) RequestTokens(ctx context.Context, host string, want bvbudget.TokenRequest) (sent, answered bool) {
 	address, err := netip.ParseAddrPort(host)
 	if err != nil {
 		lenders.log.WithError(err).Warn("another host's address can't be read")
@@ -131,18 +132,18 @@
 
 // AddressOfIncarnation implements bvbudget.Lenders.
 func (lenders lenders) AddressOfIncarnation(incarnation string) (string, bool) {
-	address, heard := lenders.gossip.AddressOfIncarnation(incarnation)
-	return address.String(), heard
+	address, reachable := lenders.gossip.AddressOfIncarnation(incarnation)
+	return address.String(), reachable
 }
 
-// grantors tells which host grants for a program, and where it is now: after a
-// restart it may have another address than on the list that was last read.
+// grantors finds the host that grants a program's tokens, and its current address: after a
+// restart it may differ from that on the last list.
 type grantors struct{ *Router }
 
 // Holder implements bvbudget.Grantors.
 func (grantors grantors) Holder(program string) (bvlease.Host, bool) {
 	holder, found := grantors.leases.Holder(program)
-	if address, heard := grantors.gossip.AddressOfHost(holder.Name); found && heard {
+	if address, reachable := grantors.gossip.AddressOfHost(holder.Name); found && reachable {
 		holder.Address = address.String()
 	}
 	return holder, found
@@ -165,7 +166,8 @@
 	handler.budgets.AddHolder(digest.GetAddress(), digest.GetPrograms())
 }
 
-// hearCalls takes in where another host's prompts are, and how its calls ended.
+// applyCalls records where another host's prompts are cached, and the outcomes of its
+// calls.
 func (handler peerHandler) applyCalls(digest *bvgossip.Digest) {
 	placed := make([]bvdispatch.Placement, 0, len(digest.GetPlacements()))
 	for _, placement := range digest.GetPlacements() {
@@ -184,10 +186,11 @@
 	handler.dispatcher.AddPeerReports(seen)
 }
 
-// maxHelpers is how many hosts are tried with one call to the store.
+// maxRelays is the maximum number of hosts through which one call to the store is
+// attempted.
 const maxRelays = 2
 
-// helpers returns a few hosts that reach the store, in random order.
+// relays returns a few hosts that reach the store, in random order.
 func (router *Router) relays() []string {
 	if router.settings.Without.Has(bvmechanism.Relays) {
 		return nil
@@ -197,7 +200,7 @@
 	})
 }
 
-// draw returns the addresses of up to so many hosts for which use is true, at random.
+// selectRandom returns the addresses of up to limit eligible hosts, selected at random.
 func selectRandom(digests []*bvgossip.Digest, limit int, isEligible func(*bvgossip.Digest) bool) []string {
 	var addresses []string
 	for _, digest := range digests {
--- a/bvrouter/handover.go
+++ b/bvrouter/handover.go
@@ -13,40 +13,41 @@
 	"balsamvalve.example/bvplatform"
 )
 
-// handoversPrefix is where hosts that stop as planned leave what they granted.
+// handoversPrefix is the key prefix under which hosts that stop gracefully store their
+// grants.
 const handoversPrefix = "handovers//"
 
 const (
-	// handoverShare is the part of a row that a handover may fill, in case that
-	// the limit counts the encoded bytes. A program takes some 70 bytes.
+	// maxHandoverShare is the share of the row limit that a handover may fill, in case the
+	// limit applies to the encoded row. A program takes some 70 bytes.
 	maxHandoverShare = 0.7
-	// clockSkew is the most by which the time of day of two processes may differ
-	// for a handover to be taken up: hosts' clocks differ by 5 s at most.
+	// maxClockSkew is the maximum difference of the wall clocks of two processes in the
+	// check of a handover's age: hosts' clocks differ by 5 s at most.
 	maxClockSkew = 5 * time.Second
 )
 
-// handover is what the next process of a host needs to go on granting. Nobody
-// else grants for its programs while the host is away, so that all is still true
-// when the next process takes it up.
+// handover is the state that a host's next process needs to continue granting. No other
+// host grants for its programs while the host is down, so the state is still valid when
+// the next process loads it.
 type handover struct {
 	Stopped time.Time             `json:"stopped"`
 	Known   bvlease.KnownHosts    `json:"known"` // hosts
 	Granted []bvbudget.GrantState `json:"granted"`
 }
 
-// retire stops granting, and takes this host off the list. With the same
-// transaction it leaves what it granted, if the next process may go on from it.
+// retire stops granting and removes this host from the list. The same transaction stores
+// the handover, if the next process may continue from it.
 //
-// Without that, hosts that are restarted in turn would leave no grantor behind,
-// and programs could not begin in an outage of the store that follows.
+// Without handovers, a rolling restart would leave no grantors, and programs could not
+// start in an outage of the store that follows.
 func (router *Router) retire(ctx context.Context) {
 	knownHosts, canHandOver := router.leases.Stop(router.clock.Now())
 	version := router.listedVersion.Load()
 	if version == 0 {
-		return // never listed
+		return // this host was never listed
 	}
-	// The condition keeps a write that is carried out late from taking the next
-	// process off the list.
+	// The check keeps a write that takes effect late from removing the next process from
+	// the list.
 	key := hostsPrefix + router.settings.Name
 	transaction := bvplatform.Transaction{
 		Checks: []bvplatform.Check{{Key: key, Version: version}},
@@ -56,24 +57,24 @@
 		transaction.Puts = append(transaction.Puts, router.handoverPuts(knownHosts)...)
 	}
 	if _, err := router.store.Commit(ctx, transaction); err != nil {
-		router.log.WithError(err).Info("host stays listed, and hands nothing over")
+		router.log.WithError(err).Info("host stays listed; handover not stored")
 		return
 	}
 	router.log.WithField("granting", canHandOver).Info("host is off the list")
 }
 
-// leftBehind is the row of a handover, if it fits into one.
+// handoverPuts returns the write of the handover row, or nothing if it doesn't fit into one.
 func (router *Router) handoverPuts(known bvlease.KnownHosts) []bvplatform.Put {
 	encoded, err := json.Marshal(handover{Stopped: time.Now(), Known: known, Granted: router.budgets.ExportGrants()})
 	if err != nil || len(encoded) > int(maxHandoverShare*float64(router.settings.RowBytes)) {
-		router.log.WithError(err).WithField("bytes", len(encoded)).Warn("grants are too many to be handed over")
+		router.log.WithError(err).WithField("bytes", len(encoded)).Warn("grants exceed the size of a handover")
 		return nil
 	}
 	return []bvplatform.Put{{Key: handoversPrefix + router.settings.Name, Value: encoded}}
 }
 
-// listSelf lists this host, and goes on from what its last process left behind.
-// Taking it up removes it, so that a process that dies leaves nothing.
+// listSelf adds this host to the list, and continues from the handover of its last process.
+// Loading a handover deletes it, so that a process that crashes later leaves none.
 func (router *Router) listSelf(ctx context.Context) error {
 	key := handoversPrefix + router.settings.Name
 	rows, err := router.store.Read(ctx, key)
@@ -100,13 +101,13 @@
 	return nil
 }
 
-// noteListed notes that this host's row is in the list, as the answer to its
-// writing told, or the list itself where that answer was lost: when many hosts
-// start at once, the store takes longer than it usually does.
+// recordListed records that this host's row is on the list. That is known from the answer
+// to the write, or from the list itself if that answer was lost: the store is slow while
+// many hosts start at once.
 func (router *Router) recordListed(version int64, grantor bool) {
 	previous := router.listedVersion.Swap(version)
 	if version == previous || router.isOnList && grantor == router.listedAsGrantor {
-		return // the same row, or the same written again by a call that came late
+		return // the same row, or the same one written again by a delayed call
 	}
 	router.listedAsGrantor = grantor
 	inherited := router.previousHandover != nil && grantor
@@ -121,14 +122,14 @@
 	router.log.WithFields(logrus.Fields{"grantor": grantor, "inherited": inherited}).Info("host is listed")
 }
 
-// newcomerTime is how long a host runs before it becomes a grantor, unless it was
-// there from the first start or goes on from its last process. A new grantor's
-// programs have none for some minutes, so that hosts which come and go should not
-// become one.
+// minGrantorAge is how long a host runs before it becomes a grantor, unless it has run
+// since the system's first start or continues from a handover. The programs that move to a
+// new grantor have none for some minutes, so hosts that run only briefly should not become
+// one.
 const minGrantorAge = 10 * bvclock.Minute
 
-// usable decodes a handover and reports whether this process may go on from it.
-// Only what is found at the first look is of the last process.
+// decodeHandover decodes a handover and reports whether this process may continue from it.
+// Once this process has been listed, a handover is not its predecessor's.
 func (router *Router) decodeHandover(row bvplatform.Row) (handover, bool) {
 	if row.Version == 0 || router.listedVersion.Load() != 0 {
 		return handover{}, false
@@ -142,9 +143,9 @@
 	return previous, age > -maxClockSkew && age+maxClockSkew < bvlease.MaxHandoverAge.Std()
 }
 
-// ownRow is this host's row in the list.
+// hostRowPut returns the write of this host's row in the list.
 func (router *Router) hostRowPut(grantor bool) bvplatform.Put {
-	encoded, _ := json.Marshal(hostRow{ // texts always encode
+	encoded, _ := json.Marshal(hostRow{ // strings always encode
 		Address: router.settings.PeerAddress, Zone: router.settings.Zone, Incarnation: router.incarnation, Grantor: grantor,
 	})
 	return bvplatform.Put{Key: hostsPrefix + router.settings.Name, Value: encoded}
--- a/bvrouter/host_share.go
+++ b/bvrouter/host_share.go
@@ -17,35 +17,35 @@
 	"balsamvalve.example/bvplatform"
 )
 
-// errNoSource means that no other host gave what was asked.
-var errNoSource = errors.New("router: no other host has it")
+// errNoSource means that no other host returned the requested list.
+var errNoSource = errors.New("router: no other host has the list")
 
-// sharedHosts is the list of hosts as this host last had it.
+// sharedHosts is this host's latest list of hosts.
 type sharedHosts struct {
 	hosts []listedHost
-	asOf  bvclock.Time // 0: a part of the list only
+	asOf  bvclock.Time // 0: partial list
 
 	once       sync.Once
-	compressed []byte // for other hosts
+	compressed []byte // encoded for other hosts
 }
 
-// encoded returns the list as it goes to other hosts. All of a zone ask at once, and a
-// compressor for each of them would take more memory than all else.
+// encoded returns the list as sent to other hosts. All hosts of a zone request it at once,
+// and a compressor for each of them would need more memory than everything else.
 func (shared *sharedHosts) encoded() []byte {
 	shared.once.Do(func() {
 		var buffer bytes.Buffer
 		compressed, _ := gzip.NewWriterLevel(&buffer, gzip.BestSpeed) // the level is valid
-		_ = json.NewEncoder(compressed).Encode(shared.hosts)          // a buffer takes all, and rows always encode
+		_ = json.NewEncoder(compressed).Encode(shared.hosts)          // writes to a buffer don't fail, and rows always encode
 		_ = compressed.Close()
 		shared.compressed = buffer.Bytes()
 	})
 	return shared.compressed
 }
 
-// ageHeader says how old a list of hosts is, in milliseconds.
+// ageHeader is the header with the age of a list of hosts in milliseconds.
 const ageHeader = "Bv-Age-Ms"
 
-// sources returns the hosts that may be asked in place of the store.
+// sources returns the hosts that may be queried instead of the store.
 func (router *Router) sources() sources {
 	known := sources{self: router.settings.PeerAddress, zone: router.settings.Zone, isSilent: router.gossip.IsUnreachable}
 	if shared := router.hosts.Load(); shared != nil && !router.settings.Without.Has(bvmechanism.Readers) {
@@ -54,9 +54,9 @@
 	return known
 }
 
-// shareHosts takes over a list of hosts, whole or in part, for this host's own questions
-// and for those of others.
-func (router *Router) storeHosts(hosts []listedHost, asOf bvclock.Time) {
+// setHosts stores a full or partial list of hosts, for this host's own requests and for
+// those of others.
+func (router *Router) setHosts(hosts []listedHost, asOf bvclock.Time) {
 	router.hosts.Store(&sharedHosts{hosts: hosts, asOf: asOf})
 	if asOf != 0 {
 		router.hostsAsOf, router.hostsFailures = asOf, 0
@@ -64,7 +64,7 @@
 	}
 }
 
-// hostsOf returns the list of hosts from the first of some that has it whole.
+// fetchHostsFrom returns the list of hosts of the first of some hosts that has the full list.
 func (router *Router) fetchHostsFrom(ctx context.Context, addresses []string) ([]listedHost, bvclock.Time, error) {
 	err := errNoSource
 	for _, address := range addresses {
@@ -80,11 +80,11 @@
 	return nil, 0, err
 }
 
-// mostHostsAge is the age from which a list of hosts is not handed on.
+// maxHostsAge is the age above which a list of hosts is not served to others.
 const maxHostsAge = 2 * hostsInterval
 
-// relayHosts gives the list of hosts to another host. Nobody asks in a small fleet, so
-// that a short list here is an old one.
+// relayHosts serves the list of hosts to another host. In a small fleet hosts don't request
+// it from each other, so if this host's list is short, it is outdated.
 func (router *Router) relayHosts(writer http.ResponseWriter, _ *http.Request) {
 	shared := router.hosts.Load()
 	if shared == nil || shared.asOf == 0 || len(shared.hosts) <= maxDirectHosts || router.clock.Now().Sub(shared.asOf) > maxHostsAge {
@@ -94,12 +94,12 @@
 	age := router.clock.Now().Sub(shared.asOf)
 	writer.Header().Set(ageHeader, strconv.FormatInt(int64(age), 10))
 	writer.Header().Set("Content-Encoding", "gzip")
-	_, _ = writer.Write(shared.encoded()) // the other host gives up by itself
+	_, _ = writer.Write(shared.encoded()) // on an error the other host times out
 }
 
 // fetchHosts reads another host's list of hosts, and its age.
 func fetchHosts(ctx context.Context, address string) (hosts []listedHost, age bvclock.Duration, err error) {
-	header, err := fetch(ctx, address, "/hosts", sourceTimeout, &hosts)
+	header, err := fetchJSON(ctx, address, "/hosts", sourceTimeout, &hosts)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -110,8 +110,8 @@
 	return hosts, bvclock.Duration(millis), nil
 }
 
-// fetch reads an answer of another host, and returns its headers.
-func fetch(ctx context.Context, address, path string, limit bvclock.Duration, answer any) (http.Header, error) {
+// fetchJSON decodes the JSON answer of another host, and returns its headers.
+func fetchJSON(ctx context.Context, address, path string, limit bvclock.Duration, answer any) (http.Header, error) {
 	ctx, cancel := context.WithTimeout(ctx, limit.Std())
 	defer cancel()
 	response, err := get(ctx, address, path)
@@ -120,7 +120,7 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		_, _ = io.Copy(io.Discard, response.Body) // keeps the connection
+		_, _ = io.Copy(io.Discard, response.Body) // keeps the connection reusable
 		return nil, fmt.Errorf("relay: status %d", response.StatusCode)
 	}
 	if err := json.NewDecoder(response.Body).Decode(answer); err != nil {
--- a/bvrouter/hosts.go
+++ b/bvrouter/hosts.go
@@ -17,37 +17,37 @@
 )
 
 const (
-	// hostsPrefix is where hosts list themselves in the platform's store.
+	// hostsPrefix is the key prefix of the list of hosts in the platform's store.
 	hostsPrefix = "hosts//"
-	// hostsInterval is the time between two looks at that list. Hosts also
-	// learn of each other by the first digest.
+	// hostsInterval is the time between two reads of that list. Hosts also discover each
+	// other by their first digests.
 	hostsInterval = 10 * bvclock.Second
-	// firstHostsInterval is the same for the first looks, until all hosts that
-	// started together are surely on the list.
+	// firstHostsInterval is the same for the first reads, until all hosts that started
+	// together are certain to be on the list.
 	firstHostsInterval = bvclock.Second
 	firstHostsReads    = 7
-	// mostHostsFailures is after how many failures in a row to get the list from other
-	// hosts a host reads a large list itself.
+	// maxHostsFailures is the number of consecutive failures to get the list from other
+	// hosts after which a host reads a large list itself.
 	maxHostsFailures = 3
-	// hostsPage is how many rows of it are read at once: as many as the platform
-	// gives in one answer.
+	// hostsPageRows is the number of rows read at once: the platform's maximum for one
+	// answer.
 	hostsPageRows = 500
 )
 
-// hostRow is how a host lists itself.
+// hostRow is a host's row in the list.
 type hostRow struct {
 	Address     string `json:"address"` // IP:port for digests and relayed calls
 	Zone        string `json:"zone"`
-	Incarnation string `json:"incarnation"` // differs with each start of the process
-	Grantor     bool   `json:"grantor"`     // has a part of all programs to grant for
+	Incarnation string `json:"incarnation"` // differs for each start of the process
+	Grantor     bool   `json:"grantor"`     // grants for a share of all programs
 }
 
-// followHosts lists this host and looks for others.
+// followHosts adds this host to the list and reads the list regularly.
 func (router *Router) followHosts(ctx context.Context) {
 	outage := bvlog.Outage{What: "list of hosts", Log: router.log}
 	for reads := 0; ctx.Err() == nil; reads++ {
-		// The list is read first: it tells whether a write took effect whose
-		// answer was lost.
+		// The list is read first: it shows whether a write whose answer was lost has
+		// taken effect.
 		err := router.readHosts(ctx)
 		if err == nil && router.isListingDue() {
 			err = router.listSelf(ctx)
@@ -61,28 +61,29 @@
 	}
 }
 
-// firstListIsDue reports whether the list is still to be read that shows all hosts of the
-// system's first start. A list that other hosts read comes with their age.
+// isFirstListDue reports whether this host has not yet read a list that has all hosts of the
+// system's first start. A list from another host may be older than this host's read of it.
 func (router *Router) isFirstListDue() bool {
 	return router.settings.FirstStart && router.hostsAsOf.Sub(router.started) < bvlease.FirstReadDelay
 }
 
-// mustList reports whether this host is to be listed, or listed anew: its row may
-// have been removed while it was cut off, or it has become old enough to grant.
+// isListingDue reports whether this host must write its row, again if it has done so
+// before: the row may have been removed while the host was unreachable, or the host has
+// become old enough to grant.
 func (router *Router) isListingDue() bool {
 	becomesGrantor := !router.listedAsGrantor && router.clock.Now().Sub(router.started) > minGrantorAge
 	return !router.leaving.Load() && (!router.isOnList || becomesGrantor)
 }
 
-// readHosts reads the list of hosts and hands it on.
+// readHosts reads the list of hosts and distributes it within this host.
 func (router *Router) readHosts(ctx context.Context) error {
 	hosts, asOf, err := router.queryHostList(ctx)
 	if err != nil || !asOf.After(router.hostsAsOf) {
-		return err // an older list than this host has is no news
+		return err // a list older than this host's is ignored
 	}
 	addresses := make([]netip.AddrPort, 0, len(hosts))
 	grantors := make([]bvlease.Host, 0, len(hosts))
-	isOnList := asOf.Before(router.listedAt) // it can't show this host yet
+	isOnList := asOf.Before(router.listedAt) // it can't contain this host yet
 	for _, host := range hosts {
 		address, err := netip.ParseAddrPort(host.Row.Address)
 		if err != nil {
@@ -101,15 +102,15 @@
 			addresses = append(addresses, address)
 		}
 	}
-	router.isOnList = isOnList // noteListed compares with the look before
+	router.isOnList = isOnList // recordListed above needs the previous value
 	router.gossip.SetHosts(addresses)
-	router.storeHosts(hosts, asOf)
+	router.setHosts(hosts, asOf)
 	router.logReaderRole()
 	router.leases.UpdateList(asOf, router.clock.Now(), grantors)
 	return nil
 }
 
-// noteReads logs when this host begins or ends to read for others.
+// logReaderRole logs when this host starts or stops reading for others.
 func (router *Router) logReaderRole() {
 	isReader := router.IsReader()
 	if isReader != router.wasReader {
@@ -119,19 +120,19 @@
 	}
 }
 
-// askHosts returns the list of hosts, and a moment since which it may have changed. In a
+// queryHostList returns the list of hosts, and a time since which it may have changed. In a
 // large fleet it comes from another host, unless this one reads for others.
 func (router *Router) queryHostList(ctx context.Context) (hosts []listedHost, asOf bvclock.Time, err error) {
 	asOf = router.clock.Now()
 	if router.settings.Without.Has(bvmechanism.Readers) {
 		hosts, _, err = router.scanHosts(ctx, 0)
-		router.unlistSilent(ctx, hosts)
+		router.unlistSilentHosts(ctx, hosts)
 		return hosts, asOf, err
 	}
 	if !router.sources().isLarge() {
 		hosts, complete, err := router.scanHosts(ctx, maxDirectHosts+1)
 		if err != nil || complete {
-			router.unlistSilent(ctx, hosts)
+			router.unlistSilentHosts(ctx, hosts)
 			return hosts, asOf, err
 		}
 		router.usePartialHostList(hosts)
@@ -144,11 +145,12 @@
 		router.log.WithError(err).Debug("list of hosts not read from another host")
 	}
 	hosts, _, err = router.scanHosts(ctx, 0)
-	router.unlistSilent(ctx, hosts)
+	router.unlistSilentHosts(ctx, hosts)
 	return hosts, asOf, err
 }
 
-// joinLargeFleet takes in a part of the list, which tells whom to ask for all of it.
+// usePartialHostList stores a part of the list, whose hosts can then be queried for the
+// full list.
 func (router *Router) usePartialHostList(hosts []listedHost) {
 	if router.hostsAsOf == 0 {
 		var addresses []netip.AddrPort
@@ -159,12 +161,12 @@
 		}
 		router.gossip.SetHosts(addresses)
 	}
-	router.storeHosts(hosts, 0)
+	router.setHosts(hosts, 0)
 }
 
-// scanHosts reads the list page by page, and reports whether it was read whole. It ends
-// after so many hosts; 0: at the list's end. A host that is listed while the pages are
-// read may be missing, as it may have been listed just after.
+// scanHosts reads the list page by page, up to limit hosts (0: all), and reports whether it
+// read the full list. A host that is added while the pages are read may be missing, as if
+// it had been added just afterwards.
 func (router *Router) scanHosts(ctx context.Context, limit int) (hosts []listedHost, complete bool, err error) {
 	pageRows := hostsPageRows
 	if limit > 0 {
@@ -193,17 +195,17 @@
 	}
 }
 
-// deadAfter is how long a host may be silent before it is taken off the list. One
-// that was only cut off lists itself again once it has read the list.
+// unlistAfter is how long a host may be silent before it is removed from the list. A host
+// that was only unreachable adds itself again when it reads the list.
 const unlistAfter = 10 * bvclock.Minute
 
-// unlistDead takes hosts off the list that were not heard for long. Hosts that die
-// for good don't do so themselves, and their programs would have no grantor.
-func (router *Router) unlistSilent(ctx context.Context, hosts []listedHost) {
+// unlistSilentHosts removes hosts from the list that have been silent for long. Hosts that fail
+// permanently don't remove themselves, and their programs would have no grantor.
+func (router *Router) unlistSilentHosts(ctx context.Context, hosts []listedHost) {
 	for _, host := range hosts {
 		address, err := netip.ParseAddrPort(host.Row.Address)
 		if err != nil || host.Row.Address == router.settings.PeerAddress {
-			continue // one that can't be read is told of when the list is taken over
+			continue // readHosts reports a row that can't be read
 		}
 		silent := router.gossip.SilentFor(address, router.started)
 		if silent < unlistAfter {
--- a/bvrouter/leave.go
+++ b/bvrouter/leave.go
@@ -8,24 +8,24 @@
 )
 
 const (
-	// leaveTime is how long a leaving host goes on accepting connections. The
-	// balancer asks every second and sends nobody after two misses.
+	// acceptTime is how long a leaving host continues to accept connections. The balancer
+	// checks readiness every second and stops sending callers after two failed checks.
 	acceptTime = 2500 * bvclock.Millisecond
-	// leaveShare is the most of the allowed time that this may take: what is
-	// in flight then needs the rest.
+	// maxAcceptShare bounds acceptTime as a share of the allowed stop time: the requests
+	// then in flight need the rest.
 	maxAcceptShare = 0.35
-	// stopMargin is kept between the end of a graceful stop and the moment at
-	// which the process would be killed, as a share of the allowed time.
+	// stopMargin is the margin between the end of a graceful stop and the time at which
+	// the process would be killed, as a share of the allowed time.
 	stopMargin = 0.06
-	// giveUpTime bounds how long a leaving host gives back budgets.
+	// releaseTimeout bounds the release of unspent budgets by a leaving host.
 	releaseTimeout = 500 * bvclock.Millisecond
-	// retireTime bounds the one write after that.
+	// retireTimeout bounds the single write after that.
 	retireTimeout = 300 * bvclock.Millisecond
 )
 
-// leave stops without cutting off a request: first the balancer is told, and
-// answers ask callers to close their connections; then idle connections are
-// closed, and what is in flight is finished.
+// leave stops without aborting requests: first this host reports itself as not ready to the
+// balancer, and answers ask callers to close their connections; then idle connections are
+// closed, and requests in flight are completed.
 func (router *Router) leave() error {
 	router.log.Info("leaving: no longer ready")
 	router.leaving.Store(true)
@@ -34,7 +34,7 @@
 	stop := float64(router.current.Load().Stop)
 	accepting := min(acceptTime, bvclock.Duration(stop*maxAcceptShare))
 	bvclock.Sleep(accepting)
-	_ = router.callers.Close() // an error would mean that it is closed already
+	_ = router.callers.Close() // fails only if it is already closed
 	limit := bvclock.Duration(stop*(1-stopMargin)) - router.clock.Now().Sub(start)
 	ctx, cancel := context.WithTimeout(context.Background(), limit.Std())
 	defer cancel()
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// within calls a function with a bound on its time.
+// callWithTimeout calls a function with a timeout.
 func callWithTimeout(ctx context.Context, limit bvclock.Duration, call func(ctx context.Context)) {
 	ctx, cancel := context.WithTimeout(ctx, limit.Std())
 	defer cancel()
--- a/bvrouter/memory_bench_test.go
+++ b/bvrouter/memory_bench_test.go
@@ -10,8 +10,8 @@
 	"balsamvalve.example/bvplatform"
 )
 
-// BenchmarkListMemory is the memory that a host keeps for each endpoint of its list, with
-// what decisions know of it.
+// BenchmarkListMemory reports the memory that a host uses for each endpoint of its list,
+// including the dispatcher's state.
 func BenchmarkListMemory(b *testing.B) {
 	for _, count := range []int{1000, 10_000, 20_000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
@@ -36,7 +36,7 @@
 	return stats.HeapAlloc
 }
 
-// manyEndpoints are endpoints as they are decoded, each with texts of its own.
+// manyEndpoints returns endpoints as decoded, each with its own copies of strings.
 func manyEndpoints(count int) []bvplatform.Endpoint {
 	endpoints := make([]bvplatform.Endpoint, count)
 	for i := range endpoints {
--- a/bvrouter/metrics.go
+++ b/bvrouter/metrics.go
@@ -15,7 +15,7 @@
 
 func (router *Router) countStoreCall(kind string) { router.counters.Count("store_calls", kind) }
 
-// gauge sets what is a state rather than a count.
+// updateGauges sets the metrics that are gauges.
 func (router *Router) updateGauges() {
 	if table := router.state.Current(); table != nil {
 		router.counters.Set("desired_state_version", table.Version())
--- a/bvrouter/quota.go
+++ b/bvrouter/quota.go
@@ -9,11 +9,11 @@
 	"balsamvalve.example/bvroute"
 )
 
-// unansweredWait is when to come back with a request whose allocator does not answer:
-// its successor is asked by then.
+// unansweredWait is the retry delay of a request whose allocator does not answer: by then,
+// requests go to its successor.
 const unansweredWait = 300 * bvclock.Millisecond
 
-// quotas holds workspaces to their usage caps.
+// quotas enforces the usage caps of workspaces.
 type quotas struct{ *Router }
 
 // Take implements bvfront.Quotas.
@@ -25,7 +25,7 @@
 	return quotas.claim(request)
 }
 
-// claim asks the allocator of a workspace, or the next one where it is silent.
+// claim sends a claim to the allocator of a workspace, or to the next one if it is silent.
 func (quotas quotas) claim(request bvquota.Request) bvquota.Decision {
 	use := quotas.limiter.OwnUsage(request.Workspace)
 	allocators, firstSkipped := quotas.gossip.Allocators(use.Workspace)
@@ -66,7 +66,7 @@
 	}
 }
 
-// setCaps takes over the usage caps of the desired state.
+// setCaps applies the usage caps of the desired state.
 func (router *Router) setCaps(table *bvroute.Table) {
 	var caps []bvquota.Cap
 	for _, workspace := range table.Workspaces() {
@@ -77,11 +77,11 @@
 	router.limiter.SetCaps(caps)
 }
 
-// tellUses adds to a digest what this host has run of workspaces with a cap.
+// addUsage adds this host's usage of workspaces with a cap to a digest.
 func (router *Router) addUsage(digest *bvgossip.Digest) {
 	if router.hostsKnown.Load() {
-		others, heard, lag := router.gossip.PeerStats()
-		router.limiter.SetHosts(others+1, heard+1, lag)
+		others, reachable, lag := router.gossip.PeerStats()
+		router.limiter.SetHosts(others+1, reachable+1, lag)
 	}
 	if router.clock.Now().Sub(router.started) > router.settings.QuotaWindow {
 		router.gossip.SetSettled()
@@ -94,15 +94,15 @@
 	}
 }
 
-// hearUses takes in what another host has run of workspaces with a cap.
+// applyUsage records another host's usage of workspaces with a cap.
 func (handler peerHandler) applyUsage(digest *bvgossip.Digest) {
 	workspaces, counts, recent := digest.GetUsedWorkspaces(), digest.GetUsedCounts(), digest.GetUsedRecent()
 	if len(counts) != len(workspaces) || len(recent) != len(workspaces) {
 		return
 	}
-	uses := make([]bvquota.Usage, len(workspaces))
+	usages := make([]bvquota.Usage, len(workspaces))
 	for i := range workspaces {
-		uses[i] = bvquota.Usage{Workspace: workspaces[i], Count: counts[i], Recent: recent[i]}
+		usages[i] = bvquota.Usage{Workspace: workspaces[i], Count: counts[i], Recent: recent[i]}
 	}
-	handler.limiter.RecordUsage(xxhash.Sum64String(digest.GetIncarnation()), uses)
+	handler.limiter.RecordUsage(xxhash.Sum64String(digest.GetIncarnation()), usages)
 }
--- a/bvrouter/relay.go
+++ b/bvrouter/relay.go
@@ -17,8 +17,8 @@
 // to the store is bounded by storeTimeout.
 const relayTimeout = storeTimeout + 100*bvclock.Millisecond
 
-// relayHandler lets other hosts use this host's way to the platform: its store
-// may turn some hosts away and serve the others.
+// relayHandler lets other hosts reach the platform through this host: the store may reject
+// some hosts and serve others.
 func (router *Router) relayHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("POST /table/", bvplatform.NewHandler(router.store.direct()))
@@ -30,28 +30,28 @@
 	return mux
 }
 
-// relayConversation gives what this host has at hand of a conversation.
+// relayConversation serves the cached part of a conversation to another host.
 func (router *Router) relayConversation(writer http.ResponseWriter, request *http.Request) {
 	chain := router.histories.CachedChain(request.PathValue("turn"))
 	if chain == nil {
 		writer.WriteHeader(http.StatusNotFound)
 		return
 	}
-	_, _ = writer.Write(chain.Encode()) // the other host gives up by itself
+	_, _ = writer.Write(chain.Encode()) // on an error the other host times out
 }
 
 const (
-	// conversationTimeout bounds the wait for another host's conversation; the store is
-	// asked after it.
+	// conversationTimeout bounds the wait for another host's conversation; after it, the
+	// store is queried.
 	conversationTimeout = 25 * bvclock.Millisecond
-	// maxConversationHosts is how many hosts that had turns of a program are asked
-	// before the store.
+	// maxConversationHosts is the maximum number of hosts with turns of a program that are
+	// queried before the store.
 	maxConversationHosts = 4
-	// maxConversationBytes bounds what is read.
+	// maxConversationBytes bounds the bytes read of a conversation.
 	maxConversationBytes = 4 << 20
 )
 
-// peers asks other hosts for conversations.
+// peers requests conversations from other hosts.
 type peers struct{ *Router }
 
 // Chain implements bvhistory.Peers.
@@ -60,7 +60,7 @@
 		return nil
 	}
 	hosts := peers.gossip.NearestReachable(peers.budgets.Holders(program))
-	if peers.store.hasRoute() { // else there is nobody else to ask
+	if peers.store.hasRoute() { // otherwise there is no other source
 		hosts = hosts[:min(len(hosts), maxConversationHosts)]
 	}
 	for _, host := range hosts {
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// get asks another host; the caller closes the answer's body.
+// get sends a request to another host; the caller closes the answer's body.
 func get(ctx context.Context, address, path string) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
@@ -89,7 +89,7 @@
 	return response, nil
 }
 
-// fetchConversation returns nil where the host does not have it.
+// fetchConversation returns another host's cached conversation, or nil if it has none.
 func fetchConversation(ctx context.Context, address, turn string) (bvhistory.Chain, error) {
 	ctx, cancel := context.WithTimeout(ctx, conversationTimeout.Std())
 	defer cancel()
--- a/bvrouter/router.go
+++ b/bvrouter/router.go
@@ -1,11 +1,11 @@
-// Package bvrouter puts a routing daemon together: callers' requests by route
-// on one side, endpoints on the other, and the platform that tells it of both.
-// Every host runs the same daemon and decides by itself.
+// Package bvrouter assembles the routing daemon: it serves callers' requests by route,
+// forwards them to endpoints, and gets both routes and endpoints from the platform. Every
+// host runs the same daemon and makes its own decisions.
 //
 // # Usage
 //
 //	router, err := bvrouter.New(settings, parts, log)
-//	err = router.Run(ctx) // until ctx ends, then a graceful stop
+//	err = router.Run(ctx) // until ctx is canceled, then stops gracefully
 package bvrouter
 
 import (
@@ -40,21 +40,21 @@
 	"balsamvalve.example/bvsetting"
 )
 
-// Platform is what a routing daemon asks of its platform.
+// Platform is the interface of the platform that a routing daemon requires.
 type Platform interface {
 	bvplatform.Store
-	// AwaitEndpoints returns what changes on the list of endpoints after a
-	// point of its history, as soon as something does, or nothing after the
-	// given time. The list is whole from point 0 on, or where the changes since
-	// are not known. Entries that can't be read are told in the error beside the
-	// others.
+	// AwaitEndpoints returns the changes of the list of endpoints after a change
+	// sequence number, as soon as there are any, or no changes after the given wait. It
+	// returns the full list for sequence number 0, and if the changes since then are no
+	// longer known. Entries that can't be read are reported in the error, which is
+	// returned together with the other entries.
 	AwaitEndpoints(ctx context.Context, after int64, wait bvclock.Duration) (bvplatform.EndpointChanges, error)
-	// FirstEndpoints returns the first entries of the list, and all of them if there
-	// are no more than the given number.
+	// FirstEndpoints returns the first entries of the list, or all of them if there are no
+	// more than limit.
 	FirstEndpoints(ctx context.Context, limit int) (bvplatform.EndpointChanges, error)
-	// AwaitRoutes returns the desired state when it changes after a point of
-	// its history, and the point to go on from; no table when nothing changed
-	// for the given time.
+	// AwaitRoutes returns the desired state when it changes after a change sequence
+	// number, and the sequence number for the next call; no table if nothing has changed
+	// after the given wait.
 	AwaitRoutes(ctx context.Context, after int64, wait bvclock.Duration) (*bvroute.Table, int64, error)
 }
 
@@ -64,7 +64,7 @@
 	bvforward.Wire
 }
 
-// Parts are what a Router works with. All fields must be set.
+// Parts are the components that a Router uses. All fields must be set.
 type Parts struct {
 	Platform Platform
 	Wire     Wire
@@ -74,8 +74,8 @@
 
 // Router is one host's daemon. Make one with New.
 type Router struct {
-	settings    bvsetting.Host                 // at the start
-	current     atomic.Pointer[bvsetting.Host] // as last reloaded
+	settings    bvsetting.Host                 // from the start of the process
+	current     atomic.Pointer[bvsetting.Host] // from the last reload
 	parts       Parts
 	log         logrus.FieldLogger
 	clock       bvclock.Clock
@@ -93,26 +93,26 @@
 	server      *bvfront.Server
 	leaving     atomic.Bool
 
-	listedVersion atomic.Int64 // of this host's row
-	hostsKnown    atomic.Bool  // the list of hosts was read
+	listedVersion atomic.Int64 // version of this host's row
+	hostsKnown    atomic.Bool  // the list of hosts has been read
 
 	hosts atomic.Pointer[sharedHosts]
 
-	// followHosts' alone.
+	// The following fields are used by followHosts only.
 	hostsAsOf        bvclock.Time // since when the list of hosts may have changed
-	hostsFailures    int          // questions in a row for it that no other host answered
+	hostsFailures    int          // consecutive requests for it that no other host answered
 	listedAt         bvclock.Time // when this host last wrote its row
-	wasReader        bool         // this host reads for others
-	isOnList         bool         // the last list that was read has this host's row
+	wasReader        bool         // this host was a reader at the last check
+	isOnList         bool         // this host's row is on the last list
 	listedAsGrantor  bool
 	previousHandover *handover // of the last process, until this host is listed
 
-	endpointsMutex  sync.Mutex // held while a list of endpoints is handed on
+	endpointsMutex  sync.Mutex // held while a list of endpoints is applied
 	endpoints       endpointList
 	endpointsAsOf   bvclock.Time // since when the list may have changed
 	endpointsKnown  atomic.Bool
-	partialListAsOf bvclock.Time // followEndpoints' alone: when a part of the list was last read
-	listCopies      atomic.Int64 // whole lists that are being given to other hosts
+	partialListAsOf bvclock.Time // used by followEndpoints only: when a part of the list was last read
+	listCopies      atomic.Int64 // full lists that are being sent to other hosts
 
 	incarnation string
 	gossip      *bvgossip.Gossip
@@ -123,16 +123,15 @@
 	metrics     net.Listener
 }
 
-// memoryShare is the part of the allowed memory that the Go runtime may use;
-// the rest is for stacks, the C library and bytes in socket buffers, which
-// count too.
+// memoryShare is the share of the allowed memory that the Go runtime may use. Stacks, the
+// C library and socket buffers count too and need the rest.
 const memoryShare = 0.7
 
-// callShare is the part of the allowed memory that calls may hold, of requests and of
+// callMemoryShare is the share of the allowed memory that calls may hold for requests and
 // answers.
 const callMemoryShare = 0.2
 
-// New opens the ports and puts the parts together.
+// New opens the ports and returns a Router.
 func New(settings bvsetting.Host, parts Parts, log logrus.FieldLogger) (*Router, error) {
 	limitMemory(settings)
 	clock := bvclock.Boot()
@@ -194,8 +193,8 @@
 	debug.SetMemoryLimit(int64(float64(settings.Memory) * memoryShare))
 }
 
-// Reload takes over new settings while the daemon runs: memory and the time for
-// a planned stop. Names and addresses stay until the next start.
+// Reload applies new settings while the daemon runs: memory and the time for a graceful
+// stop. Names and addresses stay until the next start.
 func (router *Router) Reload(settings bvsetting.Host) {
 	limitMemory(settings)
 	router.current.Store(&settings)
@@ -266,22 +265,22 @@
 // through another host.
 func (router *Router) IsStoreReachable() bool { return router.store.hasRoute() }
 
-// Ready reports whether callers should be sent here. A host that can't ask the
-// store, by itself or through another host, can still begin programs while other
-// hosts are heard that grant their budgets; one that is cut off from all of them
-// must refuse most programs, which another host may serve.
+// Ready reports whether callers should be sent to this host. A host that can't reach the
+// store, directly or through another host, can still start programs while it reaches other
+// hosts that grant their budgets; one that is isolated from all of them must refuse most
+// programs, which another host may serve.
 func (router *Router) Ready() bool {
 	table, _, confirmed := router.state.Confirmed()
 	return !router.leaving.Load() && table != nil && confirmed && router.endpointsKnown.Load() &&
 		(router.store.hasRoute() || router.canGrantBudgets())
 }
 
-// granting reports whether budgets can be granted without the store.
+// canGrantBudgets reports whether budgets can be granted without the store.
 func (router *Router) canGrantBudgets() bool {
 	return router.PeerCount() > 0 && router.leases.IsConfirmed(router.clock.Now())
 }
 
-// Run serves until ctx ends, and then stops without cutting off a request.
+// Run serves until ctx is canceled, and then stops without aborting requests.
 func (router *Router) Run(ctx context.Context) error {
 	router.log.WithFields(logrus.Fields{
 		"host":    router.settings.Name,
@@ -321,7 +320,7 @@
 	return err
 }
 
-// serveUntil serves HTTP until ctx ends.
+// serveUntil serves HTTP until ctx is canceled.
 func serveUntil(ctx context.Context, listener net.Listener, handler http.Handler) error {
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: smallServerTimeout.Std()}
 	release := context.AfterFunc(ctx, func() {
@@ -334,6 +333,6 @@
 	return nil
 }
 
-// smallServerTimeout bounds the headers of the balancer's and the metrics
-// collector's requests, which fit into one packet.
+// smallServerTimeout bounds the time to read the headers of requests from the balancer,
+// other hosts and the metrics collector, which fit into one packet.
 const smallServerTimeout = 5 * bvclock.Second
--- a/bvrouter/source.go
+++ b/bvrouter/source.go
@@ -12,48 +12,50 @@
 	"balsamvalve.example/bvhost"
 )
 
-// What the platform's store says of endpoints and hosts is the same for all hosts. Read
-// by each of them, it costs bytes and calls by the square of the fleet, since there are
-// the more entries and changes the more hosts there are. So in a large fleet two hosts of
-// each availability zone read, and the others ask them; a host that gets no fresh answer
-// there asks the store. What a host hands on comes with its age, which adds up on the way,
-// so that it does not matter whether hosts agree on who reads.
+// The lists of endpoints and hosts in the platform's store are the same for all hosts. If
+// each host read them, bytes and calls would grow with the square of the fleet, since a
+// larger fleet has more entries and more changes. So in a large fleet two hosts of each
+// availability zone read the lists, and the others query those readers; a host that gets
+// no recent answer from them queries the store. A list is sent with its age, which
+// accumulates from host to host, so hosts need not agree on who the readers are.
 
 const (
-	// directHosts and directEndpoints are up to how many of them each host reads the
-	// list from the store.
+	// maxDirectHosts and maxDirectEndpoints are the sizes of the lists up to which each
+	// host reads them from the store.
 	maxDirectHosts     = 128
 	maxDirectEndpoints = 128
-	// readersPerZone is how many hosts of an availability zone read for the others.
+	// readersPerZone is the number of hosts of an availability zone that read for the
+	// others.
 	readersPerZone = 2
-	// readersKey orders a zone's hosts; the first ones read.
+	// readersKey is the rendezvous key that ranks a zone's hosts; the top ones read.
 	readersKey = 0x7265616465727300
-	// strangers is how many hosts drawn at random are asked beside the readers.
+	// maxRandomSources is the number of random hosts that are queried besides the readers.
 	maxRandomSources = 2
-	// sourceTimeout bounds a question to another host about changes.
+	// sourceTimeout bounds a request to another host for changes.
 	sourceTimeout = 300 * bvclock.Millisecond
-	// wholeTimeout bounds the reading of a whole list from another host.
+	// fullListTimeout bounds the read of a full list from another host.
 	fullListTimeout = 4 * bvclock.Second
-	// mostCopies is how many whole lists a host gives at once: each fills its link.
+	// maxListCopies is the number of full lists that a host sends at once: each of them
+	// saturates its link.
 	maxListCopies = 2
 )
 
-// listedHost is a host of the list of hosts.
+// listedHost is an entry of the list of hosts.
 type listedHost struct {
 	Key     string
 	Version int64
 	Row     hostRow
 }
 
-// sources are the hosts that one may ask in place of the store.
+// sources are the hosts that may be queried instead of the store.
 type sources struct {
 	hosts    []listedHost
 	self     string // address
 	zone     string
-	isSilent func(address netip.AddrPort) bool // was heard, and no longer is
+	isSilent func(address netip.AddrPort) bool // has sent digests, but no longer does
 }
 
-// large reports whether the fleet is so large that only some hosts read from the store.
+// isLarge reports whether the fleet is so large that only some hosts read from the store.
 func (sources sources) isLarge() bool { return len(sources.hosts) > maxDirectHosts }
 
 // readers returns the hosts that read for this host's availability zone.
@@ -61,16 +63,16 @@
 	return sources.topRanked(readersKey, readersPerZone, func(host listedHost) bool { return host.Row.Zone == sources.zone })
 }
 
-// reads reports whether this host reads for its availability zone.
+// isReader reports whether this host reads for its availability zone.
 func (sources sources) isReader() bool { return slices.Contains(sources.readers(), sources.self) }
 
-// toAsk returns the hosts to ask in place of the store.
+// candidates returns the hosts to query instead of the store, in order.
 func (sources sources) candidates() []string {
 	return append(sources.readers(), sources.randomHosts()...)
 }
 
-// strangers returns some hosts of the availability zone, drawn at random, or of all zones
-// where none of this one is known.
+// randomHosts returns some random hosts of the availability zone, or of all zones if none
+// of this zone is known.
 func (sources sources) randomHosts() []string {
 	near := sources.topRanked(rand.Uint64(), maxRandomSources, func(host listedHost) bool {
 		return host.Row.Zone == sources.zone && host.Row.Address != sources.self
@@ -81,7 +83,7 @@
 	return sources.topRanked(rand.Uint64(), maxRandomSources, func(host listedHost) bool { return host.Row.Address != sources.self })
 }
 
-// first returns the first hosts in a key's order of those that are wanted.
+// topRanked returns up to limit wanted hosts, in the rendezvous order of a key.
 func (sources sources) topRanked(key uint64, limit int, isWanted func(listedHost) bool) (addresses []string) {
 	for below := uint64(math.MaxUint64); len(addresses) < limit; {
 		best, highest, found := "", uint64(0), false
--- a/bvrouter/state.go
+++ b/bvrouter/state.go
@@ -9,26 +9,26 @@
 	"balsamvalve.example/bvroute"
 )
 
-// certainShare is the share of the bound within which a new version must be in
-// force, for which a host may still say after the platform's last word that
+// upToDateShare is the share of the bound within which a new version must be in force.
+// For this long after the platform's last confirmation, a host may still answer that
 // something is not in the desired state.
 const upToDateShare = 0.9
 
-// revokeMargin is kept between the age at which keys are no longer gone by and the
-// bound, for clocks that run at different rates.
+// revokeMargin is the margin between the age from which keys are no longer accepted and
+// the bound. It allows for clocks that run at different rates.
 const revokeMargin = 100 * bvclock.Millisecond
 
-// promptShare is the share of the questions for changes whose answers are wanted at once,
-// where keys can be confirmed by them.
+// immediateShare is the share of requests for changes that don't wait, if keys must be
+// confirmed by the answers.
 const immediateShare = 0.125
 
-// state is the desired state as far as this host knows it.
+// state is the desired state as known to this host.
 type state struct {
 	clock       bvclock.Clock
 	apply       bvclock.Duration // bound within which a new version must be in force
-	revoke      bvclock.Duration // bound within which a key that was taken away must be refused; 0: none
+	revoke      bvclock.Duration // bound within which a revoked key must be refused; 0: none
 	table       atomic.Pointer[bvroute.Table]
-	confirmedAt atomic.Int64 // when the platform last said what is newest
+	confirmedAt atomic.Int64 // as of when the platform last confirmed the newest version
 }
 
 // Current implements bvfront.State.
@@ -44,24 +44,24 @@
 	}
 }
 
-// Age returns the time since the store was asked for the newest version and said
-// that it is the one in force here. It counts suspensions, and is not known before
-// the first answer.
+// Age returns the time since the request to the store whose answer last confirmed that the
+// version in force here is the newest one. It includes suspensions, and is not known
+// before the first answer.
 func (state *state) Age() (age bvclock.Duration, known bool) {
 	confirmed := bvclock.Time(state.confirmedAt.Load())
 	return state.clock.Now().Sub(confirmed), confirmed != 0
 }
 
-// Confirmed returns the version in force and the age of what is confirmed. A version comes
-// into force before it counts as confirmed, so the age is read first: the other way round,
-// an older version could go with a newer one's confirmation.
+// Confirmed returns the version in force and the age of its confirmation. A version comes
+// into force before it is confirmed, so the age is read first: in the other order, an older
+// version could be returned with the confirmation of a newer one.
 func (state *state) Confirmed() (table *bvroute.Table, age bvclock.Duration, known bool) {
 	age, known = state.Age()
 	return state.Current(), age, known
 }
 
-// noteConfirmed notes that the platform said what is newest, as of the given time.
-func (state *state) noteConfirmed(at bvclock.Time) {
+// recordConfirmation records that the platform confirmed the newest version as of a time.
+func (state *state) recordConfirmation(at bvclock.Time) {
 	for {
 		known := state.confirmedAt.Load()
 		if int64(at) <= known || state.confirmedAt.CompareAndSwap(known, int64(at)) {
@@ -70,13 +70,13 @@
 	}
 }
 
-// nextWait returns for how long the store may hold the next question for changes; early
-// tells that the last answer came before its wait was over. The answer is wanted at once
-// where the state is older than it becomes while the store answers, and now and then by each
-// host, so that at the beginning of an outage some host has a new one.
+// nextWait returns how long the store may hold the next request for changes; answeredEarly
+// means that the last answer came before the end of its wait. A request does not wait if
+// the state is older than it can be while the store answers; some requests of each host
+// don't wait either, so that some host has a recent answer when an outage starts.
 //
-// What makes one answer early makes all hosts' early. Without a random wait after it they
-// would all ask at the same moments from then on.
+// A change answers the requests of all hosts early. Without a random wait after it, all
+// hosts would send their requests at the same times from then on.
 func (state *state) nextWait(answeredEarly bool) bvclock.Duration {
 	wait := stateWait(state.apply)
 	age, known := state.Age()
@@ -90,8 +90,8 @@
 	return wait
 }
 
-// replace puts a newer version in force. An older one is ignored: a version that
-// callers have seen the effect of is never gone back on.
+// replace puts a newer version in force. Older versions are ignored: a version that has
+// affected callers is never rolled back.
 func (state *state) replace(table *bvroute.Table) bool {
 	current := state.table.Load()
 	if current != nil && table.Version() <= current.Version() {
--- a/bvrouter/store_calls.go
+++ b/bvrouter/store_calls.go
@@ -41,10 +41,10 @@
 	return rows, err
 }
 
-// AwaitEndpoints waits for changes on the list of endpoints, by this host's own
-// way only. A failure makes the store be tried at once, since a host without
-// calls would learn late that it is lost. The error is errRegained where the question
-// was given up because the store is back.
+// AwaitEndpoints waits for changes of the list of endpoints, through this host's direct path
+// only. A failure triggers an immediate probe, since a host without other calls would detect
+// an unreachable store late. The error is errRegained if the request was canceled because
+// the store is reachable again.
 func (client *storeClient) AwaitEndpoints(ctx context.Context, after int64, wait bvclock.Duration) (bvplatform.EndpointChanges, error) {
 	client.count("await endpoints")
 	queryCtx, release := client.untilRegained(ctx)
@@ -60,12 +60,12 @@
 	return changes, err
 }
 
-// errRegained means that a question was given up because the store is back: it never
-// answers those of before.
+// errRegained means that a request was canceled because the store is reachable again: it
+// never answers requests from before an outage.
 var errRegained = errors.New("router: the store was regained")
 
-// FirstEndpoints returns the first entries of the list of endpoints, by this host's own
-// way only.
+// FirstEndpoints returns the first entries of the list of endpoints, through this host's
+// direct path only.
 func (client *storeClient) FirstEndpoints(ctx context.Context, limit int) (changes bvplatform.EndpointChanges, err error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout.Std())
 	defer cancel()
@@ -73,18 +73,17 @@
 	err = client.track(ctx, "some endpoints", func(ctx context.Context) (err error) {
 		changes, err = client.platform.FirstEndpoints(ctx, limit)
 		if changes.Next != 0 {
-			entryErr, err = err, nil // the store has answered
+			entryErr, err = err, nil // the store has answered; only some entries can't be read
 		}
 		return err
 	})
 	return changes, errors.Join(err, entryErr)
 }
 
-// direct is this host's own way, for other hosts to use.
+// direct returns this host's direct path to the store, for use by other hosts.
 func (client *storeClient) direct() bvplatform.Store { return directStore{client} }
 
-// directStore never goes through another host: two hosts would send a call
-// back and forth.
+// directStore never uses a relay: otherwise two hosts could send a call back and forth.
 type directStore struct{ client *storeClient }
 
 func (store directStore) call(ctx context.Context, kind string, call func(ctx context.Context) error) error {
--- a/bvrouter/store_client.go
+++ b/bvrouter/store_client.go
@@ -15,49 +15,49 @@
 const (
 	// storeTimeout bounds a call to the store on a caller's behalf.
 	storeTimeout = 800 * bvclock.Millisecond
-	// leastStoreTimeout and storeTimeoutFactor bound a call by what calls usually take: a
-	// connection on which an answer was lost delivers nothing more. Each call in a row
-	// that ran out of time doubles the bound, up to storeTimeout, for a store that is
-	// slow.
+	// minStoreTimeout and storeTimeoutFactor bound a call by the average duration of calls: a
+	// connection on which an answer was lost delivers no further answers. Each consecutive
+	// call that times out doubles the bound, up to storeTimeout, to allow for a slow store.
 	minStoreTimeout    = 60 * bvclock.Millisecond
 	storeTimeoutFactor = 6
-	// usualWeight is the weight of a new duration in the usual one.
+	// averageWeight is the weight of a new duration in the moving average.
 	averageWeight = 0.1
-	// trialInterval is the time between two calls that try whether a lost
-	// store is back. Callers' own calls must not do so: a silent store holds each for
-	// up to storeTimeout, where the caller should be refused at once.
+	// probeInterval is the time between two probes of an unreachable store. Callers'
+	// requests must not serve as probes: a silent store would hold each for up to
+	// storeTimeout, although the caller should be refused immediately.
 	probeInterval = 100 * bvclock.Millisecond
-	// suspectAfter is how long a call may be under way, with no other one
-	// answered since it began, before the store counts as lost: a store that
-	// is silent gives no error to count.
+	// hangAfter is how long a call may be in flight, with no call answered since it
+	// started, before the store counts as lost: a silent store returns no errors that
+	// could be counted.
 	hangAfter = 300 * bvclock.Millisecond
-	// lostAfter is how many calls in a row must fail.
+	// maxFailures is the number of consecutive failed calls after which the store counts
+	// as lost.
 	maxFailures = 2
 )
 
-// storeClient is this host's way to the platform's store: its own, or through
-// another host while the store turns this one away. While there is neither,
-// calls fail at once, so that callers are not held for what can't be had.
+// storeClient calls the platform's store, directly or, while the store does not answer this
+// host, through another host. If there is no path, calls fail immediately, so that callers
+// don't wait for calls that can't succeed.
 type storeClient struct {
 	platform Platform
 	clock    bvclock.Clock
 	log      logrus.FieldLogger
-	relays   func() []string // addresses of hosts that reach the store
+	relays   func() []string // returns addresses of hosts that reach the store
 	count    func(kind string)
 
 	mutex            sync.Mutex
-	failures         int // in a row
+	failures         int // consecutive failed calls
 	answeredAt       bvclock.Time
-	calls            map[int64]bvclock.Time // under way, by number
+	calls            map[int64]bvclock.Time // start times of calls in flight, by number
 	lastCall         int64
 	clients          map[string]*bvplatform.Client
 	unreachable      bool
 	unreachableSince bvclock.Time
-	averageCall      float64       // duration of an answered call, in milliseconds
-	timeouts         int           // calls in a row that ran out of time
-	regained         chan struct{} // closed when the store is next regained; nil where nobody waits
+	averageCall      float64       // moving average of the duration of answered calls, in milliseconds
+	timeouts         int           // consecutive calls that timed out
+	regained         chan struct{} // closed when the store is next regained; nil if nothing waits for that
 
-	probeRequests chan struct{} // holds one while a trial is due
+	probeRequests chan struct{} // holds one element while a probe is due
 }
 
 func newStoreClient(platform Platform, clock bvclock.Clock, log logrus.FieldLogger, relays func() []string, count func(kind string)) *storeClient {
@@ -73,7 +73,7 @@
 	}
 }
 
-// up reports whether the store answers this host.
+// isReachable reports whether the store answers this host directly.
 func (client *storeClient) isReachable() bool {
 	now := client.clock.Now()
 	client.mutex.Lock()
@@ -86,7 +86,8 @@
 	return !unreachable
 }
 
-// tell logs that the store was lost or regained, with what decided it.
+// announceReachability logs that the store was lost or regained, with the counts that
+// decided it. When it is regained, contexts of untilRegained are canceled.
 func (client *storeClient) announceReachability() {
 	entry := client.log.WithFields(logrus.Fields{"failures": client.failures, "calls": len(client.calls)})
 	if client.unreachable {
@@ -100,11 +101,11 @@
 	}
 }
 
-// untilRegained returns a context that also ends when the store, lost now or later, is
-// regained.
+// untilRegained returns a context that is also canceled when the store is next regained
+// after an outage.
 //
-// It is for questions that the store holds until something changes: a store that was
-// silent never answers those of before.
+// It is for requests that the store holds until something changes: after an outage, the
+// store never answers requests from before it.
 func (client *storeClient) untilRegained(ctx context.Context) (context.Context, context.CancelFunc) {
 	client.mutex.Lock()
 	if client.regained == nil {
@@ -132,13 +133,13 @@
 	return false
 }
 
-// Serving reports whether the store can be asked at all.
+// hasRoute reports whether the store can be reached directly or through another host.
 func (client *storeClient) hasRoute() bool {
 	return client.isReachable() || len(client.relays()) > 0
 }
 
-// AwayFor returns for how long the store could not be asked, by any way; 0 where it
-// can be. It is at least a millisecond from the first look on.
+// UnreachableFor returns how long the store has been unreachable by any path; 0 if it is
+// reachable, otherwise at least a millisecond.
 func (client *storeClient) UnreachableFor() bvclock.Duration {
 	if client.hasRoute() {
 		return 0
@@ -149,8 +150,8 @@
 	return max(now.Sub(client.unreachableSince), 1)
 }
 
-// track makes a call by this host's own way and learns from it. A call that
-// fails while others are answered says nothing of the store.
+// track makes a call through the direct path and updates the state of the store from its
+// outcome. A call that fails while others are answered does not count as a failure.
 func (client *storeClient) track(ctx context.Context, kind string, call func(ctx context.Context) error) error {
 	client.count(kind)
 	start := client.clock.Now()
@@ -174,7 +175,7 @@
 		client.answeredAt = now
 		client.averageCall += averageWeight * (float64(now.Sub(start)) - client.averageCall)
 	case ctx.Err() != nil:
-		// the caller gave up, for reasons of its own
+		// canceled by the caller, so no sign of a failure of the store
 	case !client.answeredAt.After(start):
 		client.failures++
 		if bounded.Err() != nil {
@@ -190,18 +191,17 @@
 	return client.failures > 0
 }
 
-// doubt makes the next trial due at once after a failed call. Where only some
-// parts of the store are away, two calls for such parts in a row would make it
-// count as lost, for calls that it would answer too; the trial's answer shows
-// that it is not.
+// requestProbe makes a probe due immediately after a failed call. If only some parts of the
+// store are unavailable, two consecutive calls to such parts would make the store count as
+// lost, also for calls that it would answer; the probe's answer prevents that.
 func (client *storeClient) requestProbe() {
 	select {
 	case client.probeRequests <- struct{}{}:
-	default: // one is due already
+	default: // a probe is due already
 	}
 }
 
-// kindOf names a call by what it does and the table of its first key.
+// kindOf names a call by its operation and the table of its first key.
 func kindOf(call string, keys ...string) string {
 	if len(keys) == 0 {
 		return call
@@ -219,15 +219,15 @@
 	return keys
 }
 
-// timeout is how long a call may take.
+// timeout returns the timeout of the next call.
 func (client *storeClient) timeout() bvclock.Duration {
 	bound := max(minStoreTimeout, bvclock.Duration(storeTimeoutFactor*client.averageCall))
 	return min(bound<<min(client.timeouts, 8), storeTimeout)
 }
 
-// watch tries the store after a failed call, and a lost one again and again,
-// until ctx ends. Trials overlap, so that one which hangs does not hide that the
-// store is back.
+// runProbes probes the store after a failed call, and repeatedly while it is lost, until
+// ctx is canceled. Probes overlap, so that a hanging one does not delay the detection that
+// the store is reachable again.
 func (client *storeClient) runProbes(ctx context.Context, key string) {
 	for ctx.Err() == nil {
 		select {
@@ -242,19 +242,19 @@
 	}
 }
 
-// try makes one call for the sake of its answer only.
+// probe makes a call only to find out whether the store answers.
 func (client *storeClient) probe(ctx context.Context, key string) {
 	err := client.track(ctx, "try", func(ctx context.Context) error {
 		_, err := client.platform.Read(ctx, key)
 		return err
 	})
 	if err != nil {
-		client.log.WithError(err).Debug("store: still lost")
+		client.log.WithError(err).Debug("store: probe failed")
 	}
 }
 
-// do calls the store, by whatever way there is. A call that may have been
-// carried out is not repeated here.
+// callStore calls the store directly or through other hosts. A call that may have taken
+// effect is not repeated.
 func (client *storeClient) callStore(ctx context.Context, kind string, call func(ctx context.Context, store bvplatform.Store) error) error {
 	err := bvplatform.ErrUnavailable
 	if client.isReachable() {
--- a/bvrouter/store_client_test.go
+++ b/bvrouter/store_client_test.go
@@ -14,7 +14,7 @@
 	"balsamvalve.example/bvroute"
 )
 
-// switchedPlatform can be switched off for this host.
+// switchedPlatform is a platform whose calls can be made to fail.
 type switchedPlatform struct {
 	bvplatform.Memory
 	err   error
@@ -51,7 +51,7 @@
 	return newStoreClient(platform, clock, silentLogger(), func() []string { return relays }, func(string) {})
 }
 
-// Guards against calls that fail while the store turns only this host away.
+// Guards against calls that fail while the store rejects only this host.
 func TestCallGoesThroughAnotherHost(t *testing.T) {
 	shared := &switchedPlatform{}
 	_, err := shared.Commit(t.Context(), bvplatform.Transaction{Puts: []bvplatform.Put{{Key: "t/p/k", Value: []byte("v")}}})
@@ -65,7 +65,7 @@
 	require.True(t, cutOff.hasRoute())
 }
 
-// Guards against calls that each wait for a store that is away, or are spent on trying it.
+// Guards against calls that wait for an unreachable store or serve as its probes.
 func TestLostStoreIsNotAskedAgainAndAgain(t *testing.T) {
 	own := &switchedPlatform{err: bvplatform.ErrUnavailable}
 	clock := &bvclock.Manual{}
@@ -86,14 +86,14 @@
 	own.err = nil
 	clock.Advance(bvclock.Minute)
 	_, err := client.Read(t.Context(), "t/p/k")
-	require.ErrorIs(t, err, bvplatform.ErrUnavailable, "a caller's call is no trial")
+	require.ErrorIs(t, err, bvplatform.ErrUnavailable, "a caller's call is not a probe")
 	client.probe(t.Context(), "t/p/k")
 	require.True(t, client.hasRoute())
 	_, err = client.Read(t.Context(), "t/p/k")
 	require.NoError(t, err)
 }
 
-// Guards against a silent store that gives no error to count and never counts as lost.
+// Guards against a silent store that returns no errors and so never counts as lost.
 func TestSilentStoreCountsAsLost(t *testing.T) {
 	clock := &bvclock.Manual{}
 	clock.Advance(1)
@@ -124,7 +124,7 @@
 	require.ErrorIs(t, err, bvplatform.ErrUnknown)
 }
 
-// Guards against lost parts of the store that make all calls fail.
+// Guards against unavailable parts of the store that make all calls fail.
 func TestPartlyUnreachableStoreIsNotLost(t *testing.T) {
 	own := &switchedPlatform{}
 	client := newTestStoreClient(own, bvclock.Boot())
@@ -133,12 +133,12 @@
 		err := client.callStore(t.Context(), "read", func(context.Context, bvplatform.Store) error { return bvplatform.ErrUnavailable })
 		require.ErrorIs(t, err, bvplatform.ErrUnavailable)
 		require.Eventually(t, func() bool { return !client.hasFailures() }, 10*bvclock.Second.Std(), bvclock.Millisecond.Std(),
-			"the host tries a part that is served")
+			"the host probes a part that is available")
 		require.True(t, client.isReachable())
 	}
 }
 
-// A lost connection is not a failed check: a conflict is the store's answer.
+// Guards against counting a conflict as a failed call: it is an answer of the store.
 func TestConflictIsAnAnswer(t *testing.T) {
 	client := newTestStoreClient(&switchedPlatform{}, bvclock.Boot())
 	for range maxFailures + 1 {
@@ -166,7 +166,7 @@
 	require.Equal(t, minStoreTimeout, client.timeout())
 }
 
-// Guards against timeouts that a slow store never meets.
+// Guards against timeouts that a slow store always exceeds.
 func TestTimeoutGrowsForASlowStore(t *testing.T) {
 	client := newTestStoreClient(&switchedPlatform{}, bvclock.Boot())
 	client.timeouts = 2
@@ -177,7 +177,7 @@
 	require.Equal(t, 600*bvclock.Millisecond, client.timeout())
 }
 
-// Guards against a host that learns seconds late that the store is back.
+// Guards against a host that detects seconds late that the store is reachable again.
 func TestRequestFromBeforeAnOutageEndsWhenTheStoreIsRegained(t *testing.T) {
 	own := &switchedPlatform{err: bvplatform.ErrUnavailable}
 	client := newTestStoreClient(own, bvclock.Boot())
@@ -194,10 +194,10 @@
 	<-queryCtx.Done()
 	laterCtx, release := client.untilRegained(t.Context())
 	defer release()
-	require.NoError(t, laterCtx.Err(), "a question of after the outage is not ended")
+	require.NoError(t, laterCtx.Err(), "a request made after the outage is not canceled")
 }
 
-// silentPlatform never answers a question for changes.
+// silentPlatform never answers a request for changes.
 type silentPlatform struct{ switchedPlatform }
 
 func (*silentPlatform) AwaitEndpoints(ctx context.Context, _ int64, _ bvclock.Duration) (bvplatform.EndpointChanges, error) {
@@ -205,7 +205,7 @@
 	return bvplatform.EndpointChanges{}, bvplatform.ErrUnavailable
 }
 
-// Guards against a list that is borrowed when only the question of before an outage was lost.
+// Guards against the use of a relay when only a request from before an outage was lost.
 func TestRequestForEndpointsReportsThatTheStoreIsRegained(t *testing.T) {
 	own := &silentPlatform{switchedPlatform{err: bvplatform.ErrUnavailable}}
 	client := newTestStoreClient(own, bvclock.Boot())
