--- a/bvledger/bench_test.go
+++ b/bvledger/bench_test.go
@@ -9,7 +9,7 @@
 	"balsamvalve.example/bvplatform"
 )
 
-// driver answers a ledger's effects at once, without a platform.
+// driver answers a ledger's effects immediately, without a platform.
 type driver struct {
 	ledger  *bvledger.Ledger
 	version int64
@@ -26,19 +26,19 @@
 		for _, effect := range effects {
 			switch effect := effect.(type) {
 			case bvledger.Load:
-				driver.ledger.HandleRows(1, effect.Key, absent(effect.Keys), nil)
+				driver.ledger.HandleRows(1, effect.Key, absentRows(effect.Keys), nil)
 			case bvledger.Commit:
 				driver.version++
 				driver.commits++
 				driver.ledger.HandleCommit(1, effect.Entry.ID, driver.version, nil)
 			case bvledger.Start:
-				driver.ledger.Finish(1, effect.Call, reply("answer"))
+				driver.ledger.Finish(1, effect.Call, newResult("answer"))
 			}
 		}
 	}
 }
 
-func absent(keys []string) []bvplatform.Row {
+func absentRows(keys []string) []bvplatform.Row {
 	rows := make([]bvplatform.Row, len(keys))
 	for i, key := range keys {
 		rows[i].Key = key
@@ -49,7 +49,7 @@
 // turn runs one turn of a program, from Submit to Answer.
 func (driver *driver) turn(program int) {
 	driver.call++
-	call := question(driver.call, "", 0)
+	call := newCall(driver.call, "", 0)
 	call.Request = fmt.Sprintf("r%d", driver.call)
 	call.Key.Program = fmt.Sprintf("p%d", program)
 	call.Limits.Budget = 1 << 40
@@ -64,7 +64,7 @@
 	return stats.HeapAlloc
 }
 
-// benchTurn measures one turn among a number of programs, and the memory of a
+// benchTurn measures one turn with a given number of programs, and the memory of a
 // program after its first turn.
 func benchTurn(b *testing.B, programs int) {
 	before := heap()
--- a/bvledger/cost_test.go
+++ b/bvledger/cost_test.go
@@ -11,14 +11,14 @@
 	"balsamvalve.example/bvverdict"
 )
 
-// Guards against a budget that does not count the history an engine reads.
+// Guards against a budget that does not count the history that an engine reads.
 func TestLongHistoryCountsAgainstTheBudget(t *testing.T) {
 	ledger := New("host-1/a")
 	call := Call{
 		ID: 1, Key: ProgramKey{Member: "bolts", Program: "p"}, Request: "r1",
 		Messages: []byte(`["` + strings.Repeat("x", 500) + `"]`), Cost: 600, Limits: Limits{Budget: 1000},
 	}
-	run(t, ledger, call, 300)
+	completeCall(t, ledger, call, 300)
 	next := Call{
 		ID: 2, Key: call.Key, Request: "r2", Messages: []byte(`["y"]`),
 		Cost: 50, HistoryCost: 1, Limits: Limits{Budget: 820},
@@ -29,8 +29,8 @@
 	require.Equal(t, bvverdict.NotRun, refusal.Verdict())
 }
 
-// run has one call of a new program claimed, started, finished and kept.
-func run(t *testing.T, ledger *Ledger, call Call, spent int64) {
+// completeCall runs one call of a new program, from its claim to its commit.
+func completeCall(t *testing.T, ledger *Ledger, call Call, spent int64) {
 	t.Helper()
 	ledger.Submit(1, call)
 	for range 10 {
--- a/bvledger/gap_test.go
+++ b/bvledger/gap_test.go
@@ -9,7 +9,7 @@
 	"balsamvalve.example/bvplatform"
 )
 
-// Guards against a host with stale memory that refuses a turn as out of order.
+// Guards against a host with outdated state that refuses a turn as out of order.
 func TestCallThatIsAheadOfStaleMemoryIsRunAfterAReload(t *testing.T) {
 	memory := &bvplatform.Memory{}
 	first := New("host-1/a")
@@ -25,7 +25,7 @@
 	require.True(t, isAnswered(t, first, memory, turn(3, "r3")))
 }
 
-// Guards against a host with stale memory that does not know an answer.
+// Guards against a host with outdated state that does not find an answer.
 func TestFetchAtStaleMemoryFindsTheAnswer(t *testing.T) {
 	memory := &bvplatform.Memory{}
 	first := New("host-1/a")
@@ -39,7 +39,8 @@
 	require.True(t, pump(t, first, memory, 3))
 }
 
-// A call that really comes too early still waits for the one before.
+// Guards against a call whose predecessor has not arrived and that is run or refused
+// instead of waiting.
 func TestCallThatIsTooEarlyWaits(t *testing.T) {
 	memory := &bvplatform.Memory{}
 	ledger := New("host-1/a")
@@ -53,7 +54,8 @@
 	require.True(t, isAnswered(t, ledger, memory, first))
 }
 
-// isAnswered runs a call against a platform without faults, all at one time.
+// isAnswered runs a call on a platform without faults, at a constant time, and reports
+// whether it was answered.
 func isAnswered(t *testing.T, ledger *Ledger, memory *bvplatform.Memory, call Call) bool {
 	t.Helper()
 	ledger.Submit(1, call)
--- a/bvledger/ledger_test.go
+++ b/bvledger/ledger_test.go
@@ -14,14 +14,14 @@
 
 var lesson = bvledger.ProgramKey{Member: "piran", Program: "lesson"}
 
-func question(id bvledger.CallID, request string, turn int) bvledger.Call {
+func newCall(id bvledger.CallID, request string, turn int) bvledger.Call {
 	return bvledger.Call{
 		ID: id, Key: lesson, Request: request, Turn: turn, Digest: request,
 		Messages: []byte(`["` + request + `"]`), Cost: 10,
 	}
 }
 
-func reply(text string) bvledger.Result {
+func newResult(text string) bvledger.Result {
 	return bvledger.Result{Answer: []byte(text), Message: []byte(`["` + text + `"]`), Spent: 7, Endpoint: "engine-1"}
 }
 
@@ -40,20 +40,20 @@
 }
 
 func TestCallRunsAfterClaimAndAnswersAfterCommit(t *testing.T) {
-	host := newHost("a", &faults{})
-	host.ledger.Submit(1, question(1, "r1", 1))
+	host := newHost("a", &faultyStore{})
+	host.ledger.Submit(1, newCall(1, "r1", 1))
 	host.pump(1)
 	require.Len(t, host.started, 1)
 	start := host.takeStarted()
 	require.Equal(t, "[]", string(start.History))
 	require.EqualValues(t, 1, start.Epoch)
 	require.True(t, host.ledger.MayStart(1, 1))
-	host.ledger.Finish(2, 1, reply("hello"))
+	host.ledger.Finish(2, 1, newResult("hello"))
 	require.Empty(t, host.outcomes)
 	host.pump(2)
 	requireAnswer(t, host, 1, "hello")
 
-	host.ledger.Submit(3, question(2, "r2", 2))
+	host.ledger.Submit(3, newCall(2, "r2", 2))
 	host.pump(3)
 	require.Equal(t, `["r1","hello"]`, string(host.takeStarted().History))
 	writes, _ := host.store.Counts()
@@ -61,28 +61,28 @@
 }
 
 func TestRepeatGetsTheKeptAnswer(t *testing.T) {
-	host := newHost("a", &faults{})
-	host.ledger.Submit(1, question(1, "r1", 1))
+	host := newHost("a", &faultyStore{})
+	host.ledger.Submit(1, newCall(1, "r1", 1))
 	host.pump(1)
-	host.ledger.Finish(2, 1, reply("hello"))
+	host.ledger.Finish(2, 1, newResult("hello"))
 	host.pump(2)
-	host.ledger.Submit(3, question(2, "r1", 1))
+	host.ledger.Submit(3, newCall(2, "r1", 1))
 	host.pump(3)
 	requireAnswer(t, host, 2, "hello")
 	require.True(t, host.outcomes[2].answer.Repeated)
 	require.Len(t, host.started, 1)
 }
 
-// Guards against a repeat at another host that runs again.
+// Guards against a repeat that runs again at another host.
 func TestRepeatAtAnotherHostGetsTheKeptAnswer(t *testing.T) {
-	store := &faults{}
+	store := &faultyStore{}
 	first := newHost("a", store)
-	first.ledger.Submit(1, question(1, "r1", 1))
+	first.ledger.Submit(1, newCall(1, "r1", 1))
 	first.pump(1)
-	first.ledger.Finish(2, 1, reply("hello"))
+	first.ledger.Finish(2, 1, newResult("hello"))
 	first.pump(2)
 	second := newHost("b", store)
-	second.ledger.Submit(3, question(1, "r1", 1))
+	second.ledger.Submit(3, newCall(1, "r1", 1))
 	second.pump(3)
 	requireAnswer(t, second, 1, "hello")
 	require.Empty(t, second.started)
@@ -90,9 +90,9 @@
 }
 
 func TestRequestIDWithAnotherBodyIsRefused(t *testing.T) {
-	host := newHost("a", &faults{})
-	host.ledger.Submit(1, question(1, "r1", 1))
-	other := question(2, "r1", 1)
+	host := newHost("a", &faultyStore{})
+	host.ledger.Submit(1, newCall(1, "r1", 1))
+	other := newCall(2, "r1", 1)
 	other.Digest = "other"
 	host.ledger.Submit(1, other)
 	host.pump(1)
@@ -100,21 +100,21 @@
 }
 
 func TestLaterTurnWaitsForTheOneBefore(t *testing.T) {
-	host := newHost("a", &faults{})
-	host.ledger.Submit(1, question(2, "r2", 2))
+	host := newHost("a", &faultyStore{})
+	host.ledger.Submit(1, newCall(2, "r2", 2))
 	host.pump(1)
 	require.Empty(t, host.started)
-	host.ledger.Submit(2, question(1, "r1", 1))
+	host.ledger.Submit(2, newCall(1, "r1", 1))
 	host.pump(2)
 	require.EqualValues(t, 1, host.takeStarted().Call)
-	host.ledger.Finish(3, 1, reply("one"))
+	host.ledger.Finish(3, 1, newResult("one"))
 	host.pump(3)
 	require.EqualValues(t, 2, host.takeStarted().Call)
 }
 
 func TestLaterTurnIsRefusedAfterItsWait(t *testing.T) {
-	host := newHost("a", &faults{})
-	host.ledger.Submit(0, question(2, "r2", 2))
+	host := newHost("a", &faultyStore{})
+	host.ledger.Submit(0, newCall(2, "r2", 2))
 	host.pump(0)
 	now := bvclock.Time(0).Add(bvledger.DefaultOrderTimeout)
 	next, ok := host.ledger.Next()
@@ -126,29 +126,30 @@
 
 // Guards against a stale owner that changes the history.
 func TestStaleOwnerKeepsNothing(t *testing.T) {
-	store := &faults{}
+	store := &faultyStore{}
 	stale := newHost("a", store)
-	stale.ledger.Submit(1, question(1, "r1", 1))
+	stale.ledger.Submit(1, newCall(1, "r1", 1))
 	stale.pump(1)
 	fresh := newHost("b", store)
-	fresh.ledger.Submit(2, question(1, "r1", 1))
+	fresh.ledger.Submit(2, newCall(1, "r1", 1))
 	fresh.pump(2)
 	require.EqualValues(t, 2, fresh.takeStarted().Epoch)
-	fresh.ledger.Finish(3, 1, reply("fresh"))
+	fresh.ledger.Finish(3, 1, newResult("fresh"))
 	fresh.pump(3)
 	requireAnswer(t, fresh, 1, "fresh")
-	stale.ledger.Finish(4, 1, reply("stale"))
+	stale.ledger.Finish(4, 1, newResult("stale"))
 	stale.pump(4)
 	requireRefusal(t, stale, 1, bvverdict.Ran, bvverdict.NotOwner)
-	stale.ledger.Submit(5, question(2, "r1", 1))
+	stale.ledger.Submit(5, newCall(2, "r1", 1))
 	stale.pump(5)
 	requireAnswer(t, stale, 2, "fresh")
 }
 
-// Guards against "not run" for a fetch of a request that runs at another host.
-func TestFetchIsNeverToldThatTheRequestWasNotRun(t *testing.T) {
-	host := newHost("a", &faults{})
-	host.ledger.Submit(0, question(1, "r2", 2))
+// Guards against the verdict "not run" for a fetch of a request that runs at another
+// host.
+func TestFetchIsNeverRefusedAsNotRun(t *testing.T) {
+	host := newHost("a", &faultyStore{})
+	host.ledger.Submit(0, newCall(1, "r2", 2))
 	host.ledger.Fetch(0, 2, lesson, "r2")
 	host.pump(0)
 	host.pump(bvclock.Time(0).Add(bvledger.DefaultOrderTimeout))
@@ -156,24 +157,24 @@
 	requireRefusal(t, host, 2, bvverdict.MayHaveRun, bvverdict.TurnOutOfOrder)
 }
 
-// Guards against two sub-agents that conflict on their parent's account for ever.
-func TestTwoSubAgentsGetOverAConflictOnTheirParentsAccount(t *testing.T) {
-	store := &faults{}
+// Guards against sub-agents that conflict on their parent's account indefinitely.
+func TestSubAgentsResolveAConflictOnTheirParentsAccount(t *testing.T) {
+	store := &faultyStore{}
 	parent := newHost("a", store)
-	call := question(1, "r1", 1)
+	call := newCall(1, "r1", 1)
 	call.Limits.Budget = 1000
 	parent.ledger.Submit(1, call)
 	parent.pump(1)
 	children := newHost("b", store)
 	for i, name := range []string{"c1", "c2", "c3"} {
-		call := question(bvledger.CallID(i+1), "r1", 1)
+		call := newCall(bvledger.CallID(i+1), "r1", 1)
 		call.Key.Program = name
 		call.Parent = lesson.Program
 		children.ledger.Submit(2, call)
 	}
 	children.tick(2) // the children's host has read the account
-	parent.ledger.Finish(3, 1, reply("one"))
-	call = question(2, "r2", 2)
+	parent.ledger.Finish(3, 1, newResult("one"))
+	call = newCall(2, "r2", 2)
 	call.Limits.Budget = 900 // changes the account row
 	parent.ledger.Submit(3, call)
 	parent.pump(3)
@@ -181,21 +182,22 @@
 	require.Len(t, children.started, 3)
 }
 
-// Guards against a stale owner that has nothing to write and never finds out.
-func TestStaleOwnerWithoutWritesFindsOutByALaterTurn(t *testing.T) {
-	store := &faults{}
+// Guards against a stale owner that has nothing to write and so never detects its
+// successor.
+func TestStaleOwnerWithoutWritesIsDetectedByALaterTurn(t *testing.T) {
+	store := &faultyStore{}
 	stale := newHost("a", store)
-	stale.ledger.Submit(1, question(1, "r1", 1))
+	stale.ledger.Submit(1, newCall(1, "r1", 1))
 	stale.pump(1)
-	stale.ledger.Finish(1, 1, reply("one"))
+	stale.ledger.Finish(1, 1, newResult("one"))
 	stale.pump(1)
 	fresh := newHost("b", store)
-	fresh.ledger.Submit(2, question(1, "r2", 2))
+	fresh.ledger.Submit(2, newCall(1, "r2", 2))
 	fresh.pump(2)
-	fresh.ledger.Finish(2, 1, reply("two"))
+	fresh.ledger.Finish(2, 1, newResult("two"))
 	fresh.pump(2)
 
-	stale.ledger.Submit(3, question(2, "r3", 3))
+	stale.ledger.Submit(3, newCall(2, "r3", 3))
 	stale.pump(3)
 	require.Len(t, stale.started, 2)
 	require.Equal(t, `["r1","one","r2","two"]`, string(stale.started[1].History))
@@ -203,9 +205,9 @@
 
 // Guards against a booking that is missing from the history of the next owner.
 func TestUnrepeatableAnswerOfAFormerOwnerJoinsTheHistory(t *testing.T) {
-	store := &faults{}
+	store := &faultyStore{}
 	former := newHost("a", store)
-	booking := question(1, "book", 1)
+	booking := newCall(1, "book", 1)
 	booking.Unrepeatable = true
 	former.ledger.Submit(1, booking)
 	former.pump(1)
@@ -214,29 +216,29 @@
 	fresh.ledger.Submit(2, booking)
 	fresh.pump(2)
 	requireRefusal(t, fresh, 1, bvverdict.MayHaveRun, bvverdict.AlreadySent)
-	fresh.ledger.Submit(2, question(2, "other", 1))
+	fresh.ledger.Submit(2, newCall(2, "other", 1))
 	fresh.pump(2)
 	fresh.takeStarted()
 	fresh.ledger.Finish(2, 2, bvledger.Result{Err: bvverdict.Refuse(bvverdict.Overloaded, "full")})
 	fresh.pump(2)
 
-	former.ledger.Finish(3, 1, reply("booked"))
+	former.ledger.Finish(3, 1, newResult("booked"))
 	former.pump(3)
 	requireAnswer(t, former, 1, "booked")
-	fresh.ledger.Submit(4, question(3, "r2", 2))
+	fresh.ledger.Submit(4, newCall(3, "r2", 2))
 	fresh.pump(4)
 	require.Len(t, fresh.started, 1)
 	require.Equal(t, `["book","booked"]`, string(fresh.started[0].History))
 }
 
-// Guards against a sub-agent that spends without its parent's account.
+// Guards against a sub-agent that spends without a draw from its parent's account.
 func TestSubAgentDrawsFromItsParentAlsoAfterAnEarlyFetch(t *testing.T) {
-	host := newHost("a", &faults{})
-	parent := question(1, "r1", 1)
+	host := newHost("a", &faultyStore{})
+	parent := newCall(1, "r1", 1)
 	parent.Limits.Budget = 100
 	host.ledger.Submit(1, parent)
 	host.pump(1)
-	child := question(3, "r1", 1)
+	child := newCall(3, "r1", 1)
 	child.Key.Program = "child"
 	child.Parent = lesson.Program
 	child.Cost = 100
@@ -246,19 +248,20 @@
 	requireRefusal(t, host, 3, bvverdict.NotRun, bvverdict.BudgetExceeded)
 }
 
-// Guards against an answered booking that leaves the list before its turn is kept.
-func TestAnsweredRecordStaysPendingWhileItsTurnIsHeld(t *testing.T) {
-	seed(t, "573640033")
-	explore(t, "1")
-	rapid.Check(t, func(t *rapid.T) { promises(t, newMachine()) })
+// Guards against an answered booking that is removed from the head's pending list before
+// its turn is durable.
+func TestAnsweredRecordStaysPendingUntilItsTurnIsDurable(t *testing.T) {
+	setSeed(t, "573640033")
+	setRuns(t, "1")
+	rapid.Check(t, func(t *rapid.T) { checkPromises(t, newMachine()) })
 }
 
-// Guards against a late read that replaces a newer state.
-func TestBelatedRowsAreNotTakenForTheState(t *testing.T) {
-	host := newHost("a", &faults{})
-	host.ledger.Submit(1, question(1, "r1", 1))
+// Guards against a late result of an earlier read that is taken for the program's state.
+func TestLateRowsAreNotTakenForTheState(t *testing.T) {
+	host := newHost("a", &faultyStore{})
+	host.ledger.Submit(1, newCall(1, "r1", 1))
 	host.pump(1)
-	host.ledger.Finish(1, 1, reply("one"))
+	host.ledger.Finish(1, 1, newResult("one"))
 	host.pump(1)
 	again := newHost("b", host.store)
 	again.ledger.End(2, lesson, 1)
@@ -269,14 +272,14 @@
 
 // Guards against a stale owner that adds a booking without its messages.
 func TestStaleOwnerDoesNotAddAKeptBookingWithoutItsMessages(t *testing.T) {
-	store := &faults{}
-	booking := question(1, "book", 1)
+	store := &faultyStore{}
+	booking := newCall(1, "book", 1)
 	booking.Unrepeatable = true
 	first := newHost("c", store)
 	first.ledger.Submit(1, booking)
 	first.pump(1)
 	stale := newHost("a", store)
-	stale.ledger.Submit(2, question(1, "r1", 1))
+	stale.ledger.Submit(2, newCall(1, "r1", 1))
 	stale.pump(2)
 	stale.ledger.Finish(2, 1, bvledger.Result{Err: bvverdict.Refuse(bvverdict.Overloaded, "full")})
 	stale.pump(2)
@@ -285,11 +288,11 @@
 	fresh := newHost("b", store)
 	fresh.ledger.Submit(4, booking)
 	fresh.pump(4)
-	fresh.ledger.Finish(4, 1, reply("booked"))
+	fresh.ledger.Finish(4, 1, newResult("booked"))
 	fresh.pump(4)
 	requireAnswer(t, fresh, 1, "booked")
 
-	stale.ledger.Submit(5, question(2, "r2", 2))
+	stale.ledger.Submit(5, newCall(2, "r2", 2))
 	stale.pump(5)
 	require.Len(t, stale.started, 2)
 	require.Equal(t, `["book","booked"]`, string(stale.started[1].History))
--- a/bvledger/world_test.go
+++ b/bvledger/world_test.go
@@ -12,96 +12,96 @@
 	"balsamvalve.example/bvplatform"
 )
 
-// faults is a platform with settable faults over one that has none.
-type faults struct {
+// faultyStore is an in-memory platform with faults that a test sets.
+type faultyStore struct {
 	bvplatform.Memory
 	down      bool
 	loseNext  int    // writes that take effect but whose answers are lost
 	delayNext int    // writes that take effect later, answers lost
-	ignore    string // checks of keys with this prefix are not made: broken on purpose, to show that oracles can fail
-	hide      string // rows with this prefix are never found: broken on purpose, too
+	ignore    string // checks of keys with this prefix are skipped, to show that the oracles can fail
+	hide      string // rows with this prefix are never found, to show that the oracles can fail
 	delayed   []bvplatform.Transaction
-	applied   func() // called after each write that took effect
+	onApplied func() // called after each write that took effect
 }
 
-func (faults *faults) apply(transaction bvplatform.Transaction) (int64, error) {
-	if faults.ignore != "" {
+func (faultyStore *faultyStore) apply(transaction bvplatform.Transaction) (int64, error) {
+	if faultyStore.ignore != "" {
 		transaction.Checks = slices.DeleteFunc(slices.Clone(transaction.Checks), func(check bvplatform.Check) bool {
-			return strings.HasPrefix(check.Key, faults.ignore)
+			return strings.HasPrefix(check.Key, faultyStore.ignore)
 		})
 	}
-	version, err := faults.Memory.Commit(context.Background(), transaction)
-	if err == nil && faults.applied != nil {
-		faults.applied()
+	version, err := faultyStore.Memory.Commit(context.Background(), transaction)
+	if err == nil && faultyStore.onApplied != nil {
+		faultyStore.onApplied()
 	}
 	return version, err
 }
 
-func (faults *faults) Commit(_ context.Context, transaction bvplatform.Transaction) (int64, error) {
-	if faults.down {
+func (faultyStore *faultyStore) Commit(_ context.Context, transaction bvplatform.Transaction) (int64, error) {
+	if faultyStore.down {
 		return 0, bvplatform.ErrUnavailable
 	}
-	if faults.delayNext > 0 {
-		faults.delayNext--
-		faults.delayed = append(faults.delayed, transaction)
+	if faultyStore.delayNext > 0 {
+		faultyStore.delayNext--
+		faultyStore.delayed = append(faultyStore.delayed, transaction)
 		return 0, bvplatform.ErrUnknown
 	}
-	version, err := faults.apply(transaction)
-	if faults.loseNext > 0 {
-		faults.loseNext--
+	version, err := faultyStore.apply(transaction)
+	if faultyStore.loseNext > 0 {
+		faultyStore.loseNext--
 		return 0, bvplatform.ErrUnknown
 	}
 	return version, err
 }
 
-func (faults *faults) Read(ctx context.Context, keys ...string) ([]bvplatform.Row, error) {
-	if faults.down {
+func (faultyStore *faultyStore) Read(ctx context.Context, keys ...string) ([]bvplatform.Row, error) {
+	if faultyStore.down {
 		return nil, bvplatform.ErrUnavailable
 	}
-	rows, err := faults.Memory.Read(ctx, keys...)
+	rows, err := faultyStore.Memory.Read(ctx, keys...)
 	for i, row := range rows {
-		if faults.hide != "" && strings.HasPrefix(row.Key, faults.hide) {
+		if faultyStore.hide != "" && strings.HasPrefix(row.Key, faultyStore.hide) {
 			rows[i] = bvplatform.Row{Key: row.Key}
 		}
 	}
 	return rows, err
 }
 
-// land lets the delayed writes take effect, if their checks still hold.
-func (faults *faults) land() {
-	for _, transaction := range faults.delayed {
-		_, _ = faults.apply(transaction)
+// applyDelayed lets the delayed writes take effect if their checks still hold.
+func (faultyStore *faultyStore) applyDelayed() {
+	for _, transaction := range faultyStore.delayed {
+		_, _ = faultyStore.apply(transaction)
 	}
-	faults.delayed = nil
+	faultyStore.delayed = nil
 }
 
-// outcome is what a caller heard.
+// outcome is the answer or the refusal that a caller received.
 type outcome struct {
 	answer *bvledger.Answer
 	refuse *bvledger.Refuse
 }
 
-// running is a call that an endpoint runs.
-type running struct {
+// sentCall is a call that runs at an endpoint.
+type sentCall struct {
 	call     bvledger.CallID
 	endpoint string
 }
 
 // host is a ledger with its committer, and the calls it has started.
 type host struct {
-	name      string
-	ledger    *bvledger.Ledger
-	committer *bvcommit.Committer
-	store     *faults
-	inbox     []func(now bvclock.Time)
-	started   []bvledger.Start
-	running   []running
-	released  []bvledger.Release
-	outcomes  map[bvledger.CallID]outcome
-	effects   func([]bvledger.Effect) []bvledger.Effect // broken on purpose
-}
-
-func newHost(name string, store *faults) *host {
+	name         string
+	ledger       *bvledger.Ledger
+	committer    *bvcommit.Committer
+	store        *faultyStore
+	inbox        []func(now bvclock.Time)
+	started      []bvledger.Start
+	sent         []sentCall
+	released     []bvledger.Release
+	outcomes     map[bvledger.CallID]outcome
+	alterEffects func([]bvledger.Effect) []bvledger.Effect // alters the ledger's effects, to show that the oracles can fail
+}
+
+func newHost(name string, store *faultyStore) *host {
 	return &host{
 		name:      name,
 		ledger:    bvledger.New(name),
@@ -116,7 +116,7 @@
 	return host.name
 }
 
-// pump carries effects until nothing is left that time doesn't have to bring.
+// pump carries out effects until all further progress needs time to pass.
 func (host *host) pump(now bvclock.Time) {
 	for range 100 {
 		host.tick(now)
@@ -129,14 +129,15 @@
 			return
 		}
 	}
-	panic("effects without end")
+	panic("effects do not end")
 }
 
-// tick takes the effects; the platform's answers go to the inbox.
+// tick carries out the effects of one Tick; the platform's answers are added to the
+// inbox.
 func (host *host) tick(now bvclock.Time) {
 	effects := host.ledger.Tick(now)
-	if host.effects != nil {
-		effects = host.effects(effects)
+	if host.alterEffects != nil {
+		effects = host.alterEffects(effects)
 	}
 	for _, effect := range effects {
 		switch effect := effect.(type) {
@@ -150,9 +151,9 @@
 		case bvledger.Release:
 			host.released = append(host.released, effect)
 		case bvledger.Answer:
-			host.tell(effect.Call, outcome{answer: &effect})
+			host.recordOutcome(effect.Call, outcome{answer: &effect})
 		case bvledger.Refuse:
-			host.tell(effect.Call, outcome{refuse: &effect})
+			host.recordOutcome(effect.Call, outcome{refuse: &effect})
 		}
 	}
 	for _, effect := range host.committer.Tick(now) {
@@ -177,11 +178,11 @@
 	}
 }
 
-func (host *host) tell(call bvledger.CallID, told outcome) {
+func (host *host) recordOutcome(call bvledger.CallID, outcome outcome) {
 	if _, twice := host.outcomes[call]; twice {
 		panic(fmt.Sprintf("call %d has two outcomes", call))
 	}
-	host.outcomes[call] = told
+	host.outcomes[call] = outcome
 }
 
 func (host *host) load(load bvledger.Load) ([]bvplatform.Row, error) {
@@ -200,9 +201,9 @@
 	return start
 }
 
-// takeRunning removes and returns the call that was sent first.
-func (host *host) takeRunning() running {
-	run := host.running[0]
-	host.running = host.running[1:]
+// takeSent removes and returns the oldest sent call.
+func (host *host) takeSent() sentCall {
+	run := host.sent[0]
+	host.sent = host.sent[1:]
 	return run
 }
