--- a/bvgate/call.go
+++ b/bvgate/call.go
@@ -36,7 +36,7 @@
 	cachedTokens int
 	memory       int
 	estimate     Work
-	expectedMs   float64 // expected duration in milliseconds
+	expectedMs   float64 // expected duration
 	timer        timer
 }
 
--- a/bvgate/endpoint.go
+++ b/bvgate/endpoint.go
@@ -36,9 +36,9 @@
 	cache         cache
 	prefixes      map[programKey]*cachedPrefix
 	prefillUntil  float64
-	peaks         [2]int // running calls: maxima of the current and the previous window
+	peaks         [2]int // maximum of running calls in the current and the previous window
 	peaksSince    bvclock.Time
-	externalCalls int     // not granted by this pool
+	externalCalls int     // calls that this pool did not grant
 	speed         average // ratio of actual to estimated duration of calls
 	slots         int     // counted in Pool.slots
 
--- a/bvgate/machine_test.go
+++ b/bvgate/machine_test.go
@@ -260,10 +260,10 @@
 	}
 }
 
-func (machine *machine) finishAs(ended *flight, outcome Outcome, over bool) {
+func (machine *machine) finishAs(ended *flight, outcome Outcome, programEnded bool) {
 	delete(machine.flights, ended.ID)
 	finish := Finish{ID: ended.ID, Outcome: outcome, PromptTokens: ended.PromptTokens, OutputTokens: ended.OutputTokens}
-	if over {
+	if programEnded {
 		finish.Pause = -1
 		machine.ended[ended.Member+"/"+ended.Program] = true
 	}
--- a/bvgate/member.go
+++ b/bvgate/member.go
@@ -22,7 +22,7 @@
 	share        MemberShare
 	queue        queue   // requests of running programs
 	newPrograms  queue   // first requests of programs
-	awaitsMemory bool    // has only new programs, which wait for memory
+	awaitsMemory bool    // has only new programs waiting, and no memory for them
 	memory       float64 // needed by its programs, in tokens
 	active       bool    // counted in Pool.activeWeight
 	queued       int     // all waiting requests, including parked ones and suspects
@@ -34,9 +34,9 @@
 	index       int // in the heap of members, from 1; 0 if it can't be served now
 	grantRate   rateMeter
 	servedWork  Work    // total, for the status
-	rateTokens  float64 // of the rate limit
+	rateTokens  float64 // tokens of the rate limit
 	refilledAt  bvclock.Time
-	timer       timer // of the rate limit
+	timer       timer // refills the rate limit
 
 	suspicions  []suspectKey // oldest first
 	retryBudget retryBudget
--- a/bvgate/pool.go
+++ b/bvgate/pool.go
@@ -63,7 +63,7 @@
 
 	backlog       memberHeap   // members that can be served
 	freeEndpoints endpointHeap // endpoints with a free slot
-	woken         []*endpoint  // have a free slot and parked requests
+	woken         []*endpoint  // endpoints with a free slot and parked requests
 	timers        timerHeap
 
 	suspicions map[suspectKey]*suspicion
@@ -71,8 +71,8 @@
 	suspectCrashes  uint64
 	inFlight        map[suspectKey]int // calls, by content
 	zones           map[string]*zone
-	waitingSuspects []*request  // wait for an endpoint to isolate
-	isolating       []*endpoint // drained for a suspect
+	waitingSuspects []*request  // requests that wait for an endpoint to isolate
+	isolating       []*endpoint // endpoints drained for a suspect
 
 	outage outage
 
@@ -81,9 +81,9 @@
 
 	virtualTime       float64   // highest virtual time of a member when it was served
 	slots             int       // of all open endpoints
-	memory            float64   // needed by programs, in tokens
-	cacheCapacity     int       // cache of all open endpoints, in tokens
-	awaitingMemory    []*member // only new programs, which wait for memory
+	memory            float64   // tokens needed by waiting, running and cached programs
+	cacheCapacity     int       // tokens of the caches of all open endpoints
+	awaitingMemory    []*member // whose new programs wait for memory
 	backloggedWeight  float64
 	activeWeight      float64 // of the members with waiting or running requests
 	backloggedRunning int
--- a/bvgate/regression_test.go
+++ b/bvgate/regression_test.go
@@ -53,7 +53,7 @@
 
 func TestSuspectThatBecomesPoisonousWhileItWaitsIsRefused(t *testing.T) {
 	// While an engine is drained for a suspect, another host reports its second crash.
-	// It was granted nevertheless and crashed a third engine.
+	// The suspect was granted nevertheless and crashed a third engine.
 	pool := &Pool{}
 	pool.UpdateEndpoint(0, EndpointReport{Name: "a", Slots: 2})
 	pool.Submit(0, Request{ID: 1, Member: "m"})
--- a/bvgate/request.go
+++ b/bvgate/request.go
@@ -15,14 +15,14 @@
 type Request struct {
 	ID              RequestID
 	Member          string
-	Class           string       // of the operators' table
+	Class           string       // row of the operators' table
 	Program         string       // unique within the member
-	Priority        int          // of the row; higher goes first within a member
-	AttainedService Work         // of the program before this call
+	Priority        int          // of the row; higher is served first within a member
+	AttainedService Work         // attained by the program before this call
 	PromptTokens    int          // of the whole prompt, including the history
 	OutputTokens    int          // estimate; 0 lets the pool use its average
-	HistoryEndpoint string       // that ran the program's last turn, if any
-	HistoryTokens   int          // of the prompt, cached by that endpoint then
+	HistoryEndpoint string       // endpoint of the program's last turn, if any
+	HistoryTokens   int          // tokens of the prompt that this endpoint cached then
 	Fingerprint     uint64       // of the request's content; 0 means none
 	Deadline        bvclock.Time // 0 means none
 	Unrepeatable    bool         // never granted twice
--- a/bvowner/release.go
+++ b/bvowner/release.go
@@ -35,7 +35,8 @@
 func (owner *Owner) releaseEverywhere(ctx context.Context, key bvledger.ProgramKey) bool {
 	engines := owner.parts.EndpointList.Engines()
 	if len(engines) == 0 {
-		return owner.parts.EndpointList.IsGone(bvledger.AnyEndpoint) // the list may be empty because none was received yet
+		// The list may be empty because none has been received yet.
+		return owner.parts.EndpointList.IsGone(bvledger.AnyEndpoint)
 	}
 	all := true
 	for _, endpoint := range engines {
