--- a/bvlease/lease.go
+++ b/bvlease/lease.go
@@ -150,7 +150,7 @@
 }
 
 // UpdateList replaces the list. The lease starts at readAt, when the read of the list
-// began: the list may be no newer than that.
+// began, since the list may be as old as that.
 func (leases *Leases) UpdateList(readAt, now bvclock.Time, hosts []Host) {
 	leases.mutex.Lock()
 	defer leases.mutex.Unlock()
--- a/bvledger/commit.go
+++ b/bvledger/commit.go
@@ -150,8 +150,8 @@
 	}
 }
 
-// isSharedConflict reports whether all the keys are of rows that other programs or hosts write
-// too.
+// isSharedConflict reports whether all the keys are of rows that other programs or hosts
+// write too.
 func (entry *entry) isSharedConflict(keys []string) bool {
 	for _, key := range keys {
 		if key != entry.onceKey && !strings.HasPrefix(key, AccountTable) {
--- a/bvledger/draw.go
+++ b/bvledger/draw.go
@@ -14,7 +14,7 @@
 		return false
 	}
 	if err != nil {
-		return true // no account to draw from; a call would have been refused, so the entry is an end
+		return true // nothing to draw from; calls are refused with this error, so the entry is an end
 	}
 	own := accounts[0]
 	if hasBounded(accounts) || entry.ending {
--- a/bvledger/end.go
+++ b/bvledger/end.go
@@ -48,8 +48,8 @@
 	ledger.emit(Abort{Call: call.ID})
 }
 
-// expireEnding refuses callers whose deadline passed before the commit of the end, and
-// detaches an aborted call that did not finish within AbortGrace.
+// expireEnding refuses callers that timed out before the commit of the end, and detaches
+// an aborted call that did not finish within AbortGrace.
 func (ledger *Ledger) expireEnding(now bvclock.Time, program *program) {
 	ending := program.ending
 	if ending == nil {
--- a/bvledger/once.go
+++ b/bvledger/once.go
@@ -112,8 +112,8 @@
 // call that was removed from the list is still found by a repeat of its request.
 const maxPending = 16
 
-// pending returns the unrepeatable calls in progress for the head row, with the inserted
-// one, if any, at the end.
+// pending returns the requests of unrepeatable calls that may still be running, for the
+// head row. The inserted one, if any, is the last.
 func (program *program) pending(inserted string) []string {
 	var pending []string
 	for _, request := range program.head.Pending {
