--- a/bvrouter/endpoint_follow.go
+++ b/bvrouter/endpoint_follow.go
@@ -73,7 +73,7 @@
 // large fleet, where the polling interval of the queried host adds to this host's own.
 func (router *Router) endpointPollInterval() bvclock.Duration {
 	wait := pollInterval(router.settings.Drain)
-	if router.sources().isLarge() {
+	if router.fleet().isLarge() {
 		return wait / 2
 	}
 	return wait
@@ -94,9 +94,9 @@
 	if after == 0 {
 		return router.queryFullList(ctx, wait)
 	}
-	known := router.sources()
-	if known.isLarge() && router.listedCount() > maxDirectEndpoints && !known.isReader() {
-		if answer, err := router.queryHostsForChanges(ctx, known.candidates(), after); err == nil {
+	fleet := router.fleet()
+	if fleet.isLarge() && router.listedCount() > maxDirectEndpoints && !fleet.isReader() {
+		if answer, err := router.queryHostsForChanges(ctx, fleet.candidates(), after); err == nil {
 			return answer, nil
 		}
 	}
@@ -149,12 +149,12 @@
 			return router.queryStore(ctx, 0, wait)
 		}
 	}
-	known, age := router.sources(), now.Sub(router.started)
+	fleet, age := router.fleet(), now.Sub(router.started)
 	if router.hosts.Load() == nil && age < hostListWait {
 		return endpointAnswer{}, errNoSource // whether the fleet is large is not known yet
 	}
-	if known.isLarge() && !known.isReader() && age < fullListWait {
-		return router.queryHostsForFullList(ctx, append(known.randomHosts(), known.readers()...))
+	if fleet.isLarge() && !fleet.isReader() && age < fullListWait {
+		return router.queryHostsForFullList(ctx, append(fleet.randomHosts(), fleet.readers()...))
 	}
 	return router.queryStore(ctx, 0, wait)
 }
@@ -264,15 +264,15 @@
 // setEndpoints passes a full list to the dispatcher and the connections, with each
 // endpoint's service settings of the desired state. The caller holds endpointsMutex.
 func (router *Router) setEndpoints(endpoints []bvplatform.Endpoint) {
-	known := router.servedEndpoints(endpoints)
-	if known == nil {
+	served := router.servedEndpoints(endpoints)
+	if served == nil {
 		return // no request can be routed yet
 	}
-	ids := make(map[string]bool, len(known))
-	for _, endpoint := range known {
+	ids := make(map[string]bool, len(served))
+	for _, endpoint := range served {
 		ids[endpoint.ID()] = true
 	}
-	router.dispatcher.SetEndpoints(known)
+	router.dispatcher.SetEndpoints(served)
 	router.connections.Retain(ids)
 }
 
@@ -280,12 +280,12 @@
 // restarted does not count as gone; one whose service is no longer known does. The caller
 // holds endpointsMutex.
 func (router *Router) changeEndpoints(update listUpdate) {
-	known := router.servedEndpoints(update.listed)
-	if known == nil {
+	changed := router.servedEndpoints(update.listed)
+	if changed == nil {
 		return
 	}
-	served := make(map[string]bool, len(known))
-	for _, endpoint := range known {
+	served := make(map[string]bool, len(changed))
+	for _, endpoint := range changed {
 		served[endpoint.Name] = true
 	}
 	var gone []string
@@ -297,7 +297,7 @@
 			gone = append(gone, endpoint.Name)
 		}
 	}
-	router.dispatcher.ChangeEndpoints(known, gone)
+	router.dispatcher.ChangeEndpoints(changed, gone)
 }
 
 // servedEndpoints returns the endpoints whose services the desired state has, with their
@@ -308,7 +308,7 @@
 	if table == nil {
 		return nil
 	}
-	known := make([]bvplatform.Endpoint, 0, len(endpoints))
+	served := make([]bvplatform.Endpoint, 0, len(endpoints))
 	for _, endpoint := range endpoints {
 		service, found := table.ServiceByName(endpoint.Serves)
 		if !found {
@@ -317,7 +317,7 @@
 		if service.Engine != nil {
 			endpoint.CacheTokens = service.Engine.CacheTokens
 		}
-		known = append(known, endpoint)
+		served = append(served, endpoint)
 	}
-	return known
+	return served
 }
--- a/bvrouter/follow.go
+++ b/bvrouter/follow.go
@@ -56,9 +56,9 @@
 	for ctx.Err() == nil {
 		requestedAt := router.clock.Now()
 		wait := router.state.nextWait(answeredEarly)
-		if known := router.sources(); known.isLarge() {
+		if fleet := router.fleet(); fleet.isLarge() {
 			wait = min(wait, relayedStateWait(router.settings.Apply))
-			if !known.isReader() && router.refreshRoutesInTime(ctx, known.candidates()) {
+			if !fleet.isReader() && router.refreshRoutesInTime(ctx, fleet.candidates()) {
 				outage.Note(nil)
 				pause(ctx, relayedStateWait(router.settings.Apply)-router.clock.Now().Sub(requestedAt))
 				continue
--- a/bvrouter/host_share.go
+++ b/bvrouter/host_share.go
@@ -45,13 +45,13 @@
 // ageHeader is the header with the age of a list of hosts in milliseconds.
 const ageHeader = "Bv-Age-Ms"
 
-// sources returns the hosts that may be queried instead of the store.
-func (router *Router) sources() sources {
-	known := sources{self: router.settings.PeerAddress, zone: router.settings.Zone, isSilent: router.gossip.IsUnreachable}
+// fleet returns the listed hosts, which may be queried instead of the store.
+func (router *Router) fleet() fleet {
+	fleet := fleet{self: router.settings.PeerAddress, zone: router.settings.Zone, isSilent: router.gossip.IsUnreachable}
 	if shared := router.hosts.Load(); shared != nil && !router.settings.Without.Has(bvmechanism.Readers) {
-		known.hosts = shared.hosts
+		fleet.hosts = shared.hosts
 	}
-	return known
+	return fleet
 }
 
 // setHosts stores a full or partial list of hosts, for this host's own requests and for
--- a/bvrouter/hosts.go
+++ b/bvrouter/hosts.go
@@ -129,7 +129,7 @@
 		router.unlistSilentHosts(ctx, hosts)
 		return hosts, asOf, err
 	}
-	if !router.sources().isLarge() {
+	if !router.fleet().isLarge() {
 		hosts, complete, err := router.scanHosts(ctx, maxDirectHosts+1)
 		if err != nil || complete {
 			router.unlistSilentHosts(ctx, hosts)
@@ -137,8 +137,8 @@
 		}
 		router.usePartialHostList(hosts)
 	}
-	if known := router.sources(); !known.isReader() {
-		hosts, asOf, err := router.fetchHostsFrom(ctx, known.candidates())
+	if fleet := router.fleet(); !fleet.isReader() {
+		hosts, asOf, err := router.fetchHostsFrom(ctx, fleet.candidates())
 		if err == nil || router.hostsAsOf == 0 && router.hostsFailures < maxHostsFailures {
 			return hosts, asOf, err
 		}
--- a/bvrouter/router.go
+++ b/bvrouter/router.go
@@ -243,14 +243,14 @@
 
 // IsReader reports whether this host reads lists from the platform's store for others.
 func (router *Router) IsReader() bool {
-	return router.sources().isLarge() && router.sources().isReader()
+	return router.fleet().isLarge() && router.fleet().isReader()
 }
 
 // HasReaders reports whether this host knows the readers of its availability zone; it may
 // be one of them.
 func (router *Router) HasReaders() bool {
-	known := router.sources()
-	return known.isLarge() && len(known.readers()) == readersPerZone
+	fleet := router.fleet()
+	return fleet.isLarge() && len(fleet.readers()) == readersPerZone
 }
 
 // HeldBytes returns how many bytes of requests and answers this host holds.
--- a/bvrouter/source.go
+++ b/bvrouter/source.go
@@ -47,8 +47,8 @@
 	Row     hostRow
 }
 
-// sources are the hosts that may be queried instead of the store.
-type sources struct {
+// fleet is the list of hosts, which may be queried instead of the store.
+type fleet struct {
 	hosts    []listedHost
 	self     string // address
 	zone     string
@@ -56,40 +56,40 @@
 }
 
 // isLarge reports whether the fleet is so large that only some hosts read from the store.
-func (sources sources) isLarge() bool { return len(sources.hosts) > maxDirectHosts }
+func (fleet fleet) isLarge() bool { return len(fleet.hosts) > maxDirectHosts }
 
 // readers returns the hosts that read for this host's availability zone.
-func (sources sources) readers() []string {
-	return sources.topRanked(readersKey, readersPerZone, func(host listedHost) bool { return host.Row.Zone == sources.zone })
+func (fleet fleet) readers() []string {
+	return fleet.topRanked(readersKey, readersPerZone, func(host listedHost) bool { return host.Row.Zone == fleet.zone })
 }
 
 // isReader reports whether this host reads for its availability zone.
-func (sources sources) isReader() bool { return slices.Contains(sources.readers(), sources.self) }
+func (fleet fleet) isReader() bool { return slices.Contains(fleet.readers(), fleet.self) }
 
 // candidates returns the hosts to query instead of the store, in order.
-func (sources sources) candidates() []string {
-	return append(sources.readers(), sources.randomHosts()...)
+func (fleet fleet) candidates() []string {
+	return append(fleet.readers(), fleet.randomHosts()...)
 }
 
 // randomHosts returns some random hosts of the availability zone, or of all zones if none
 // of this zone is known.
-func (sources sources) randomHosts() []string {
-	near := sources.topRanked(rand.Uint64(), maxRandomSources, func(host listedHost) bool {
-		return host.Row.Zone == sources.zone && host.Row.Address != sources.self
+func (fleet fleet) randomHosts() []string {
+	near := fleet.topRanked(rand.Uint64(), maxRandomSources, func(host listedHost) bool {
+		return host.Row.Zone == fleet.zone && host.Row.Address != fleet.self
 	})
 	if len(near) > 0 {
 		return near
 	}
-	return sources.topRanked(rand.Uint64(), maxRandomSources, func(host listedHost) bool { return host.Row.Address != sources.self })
+	return fleet.topRanked(rand.Uint64(), maxRandomSources, func(host listedHost) bool { return host.Row.Address != fleet.self })
 }
 
-// topRanked returns up to limit wanted hosts, in the rendezvous order of a key.
-func (sources sources) topRanked(key uint64, limit int, isWanted func(listedHost) bool) (addresses []string) {
+// topRanked returns up to limit wanted and reachable hosts, in the rendezvous order of a key.
+func (fleet fleet) topRanked(key uint64, limit int, isWanted func(listedHost) bool) (addresses []string) {
 	for below := uint64(math.MaxUint64); len(addresses) < limit; {
 		best, highest, found := "", uint64(0), false
-		for _, host := range sources.hosts {
+		for _, host := range fleet.hosts {
 			weight := bvhost.Weight(xxhash.Sum64String(host.Row.Address), key)
-			if weight >= below || found && weight <= highest || !isWanted(host) || sources.isUnreachable(host.Row.Address) {
+			if weight >= below || found && weight <= highest || !isWanted(host) || fleet.isUnreachable(host.Row.Address) {
 				continue
 			}
 			best, highest, found = host.Row.Address, weight, true
@@ -102,7 +102,7 @@
 	return addresses
 }
 
-func (sources sources) isUnreachable(address string) bool {
+func (fleet fleet) isUnreachable(address string) bool {
 	parsed, err := netip.ParseAddrPort(address)
-	return err != nil || sources.isSilent(parsed)
+	return err != nil || fleet.isSilent(parsed)
 }
--- a/bvrouter/store_client.go
+++ b/bvrouter/store_client.go
@@ -49,11 +49,11 @@
 	failures         int // consecutive failed calls
 	answeredAt       bvclock.Time
 	calls            map[int64]bvclock.Time // start times of calls in flight, by number
-	lastCall         int64
+	lastCallNumber   int64
 	clients          map[string]*bvplatform.Client
 	unreachable      bool
 	unreachableSince bvclock.Time
-	averageCall      float64       // moving average of the duration of answered calls, in milliseconds
+	averageDuration  float64       // moving average of the duration of answered calls, in milliseconds
 	timeouts         int           // consecutive calls that timed out
 	regained         chan struct{} // closed when the store is next regained; nil if nothing waits for that
 
@@ -156,8 +156,8 @@
 	client.count(kind)
 	start := client.clock.Now()
 	client.mutex.Lock()
-	client.lastCall++
-	number := client.lastCall
+	client.lastCallNumber++
+	number := client.lastCallNumber
 	client.calls[number] = start
 	timeout := client.timeout()
 	client.mutex.Unlock()
@@ -173,7 +173,7 @@
 	case err == nil, errors.As(err, &conflict), errors.Is(err, bvplatform.ErrNotFound):
 		client.failures, client.timeouts = 0, 0
 		client.answeredAt = now
-		client.averageCall += averageWeight * (float64(now.Sub(start)) - client.averageCall)
+		client.averageDuration += averageWeight * (float64(now.Sub(start)) - client.averageDuration)
 	case ctx.Err() != nil:
 		// canceled by the caller, so no sign of a failure of the store
 	case !client.answeredAt.After(start):
@@ -221,7 +221,7 @@
 
 // timeout returns the timeout of the next call.
 func (client *storeClient) timeout() bvclock.Duration {
-	bound := max(minStoreTimeout, bvclock.Duration(storeTimeoutFactor*client.averageCall))
+	bound := max(minStoreTimeout, bvclock.Duration(storeTimeoutFactor*client.averageDuration))
 	return min(bound<<min(client.timeouts, 8), storeTimeout)
 }
 
--- a/bvrouter/store_client_test.go
+++ b/bvrouter/store_client_test.go
@@ -173,7 +173,7 @@
 	require.Equal(t, 4*minStoreTimeout, client.timeout())
 	client.timeouts = 60
 	require.Equal(t, storeTimeout, client.timeout())
-	client.timeouts, client.averageCall = 0, 100
+	client.timeouts, client.averageDuration = 0, 100
 	require.Equal(t, 600*bvclock.Millisecond, client.timeout())
 }
 
