--- a/bvhost/incarnation.go
+++ b/bvhost/incarnation.go
@@ -5,9 +5,9 @@
 	"encoding/hex"
 )
 
-// NewIncarnation names this start of the process. Two starts under one host
-// name must never be taken for each other: the second knows nothing of what
-// the first has claimed.
+// NewIncarnation returns a random ID for this start of the process. Two starts under
+// one host name must never be confused: the second has no record of what the first
+// claimed.
 func NewIncarnation() string {
 	var random [8]byte
 	_, _ = rand.Read(random[:])
--- a/bvhost/rendezvous_test.go
+++ b/bvhost/rendezvous_test.go
@@ -9,7 +9,7 @@
 	"balsamvalve.example/bvplatform"
 )
 
-func listed(count int) []bvplatform.Host {
+func newHosts(count int) []bvplatform.Host {
 	hosts := make([]bvplatform.Host, count)
 	for i := range hosts {
 		hosts[i].Name = fmt.Sprintf("host-%d", i)
@@ -17,7 +17,7 @@
 	return hosts
 }
 
-func firsts(view *View, keys int) map[string]string {
+func firstCandidates(view *View, keys int) map[string]string {
 	owners := make(map[string]string)
 	for i := range keys {
 		key := fmt.Sprintf("program-%d", i)
@@ -28,10 +28,10 @@
 
 func TestHostThatLeavesMovesOnlyItsOwnKeys(t *testing.T) {
 	view := &View{}
-	view.Update(0, listed(13))
-	before := firsts(view, 2000)
-	view.Update(0, listed(12))
-	for key, owner := range firsts(view, 2000) {
+	view.Update(0, newHosts(13))
+	before := firstCandidates(view, 2000)
+	view.Update(0, newHosts(12))
+	for key, owner := range firstCandidates(view, 2000) {
 		if before[key] != "host-12" {
 			require.Equal(t, before[key], owner)
 		}
@@ -40,9 +40,9 @@
 
 func TestKeysSpreadEvenlyOverHosts(t *testing.T) {
 	view := &View{}
-	view.Update(0, listed(13))
+	view.Update(0, newHosts(13))
 	counts := make(map[string]int)
-	for _, owner := range firsts(view, 13_000) {
+	for _, owner := range firstCandidates(view, 13_000) {
 		counts[owner]++
 	}
 	for name, count := range counts {
@@ -50,10 +50,10 @@
 	}
 }
 
-// Guards against a dead host that is asked first.
+// Guards against requests that go to a failed host first.
 func TestUnreachableHostComesLast(t *testing.T) {
 	view := &View{}
-	view.Update(0, listed(5))
+	view.Update(0, newHosts(5))
 	before := view.Candidates(0, "key")
 	view.MarkUnreachable(0, before[0].Name)
 	after := view.Candidates(0, "key")
--- a/bvhost/view.go
+++ b/bvhost/view.go
@@ -1,5 +1,5 @@
-// Package bvhost is this host's view of the other hosts: the platform's
-// lagging list, corrected by what this host saw itself.
+// Package bvhost is this host's view of the other hosts: the platform's list, which
+// lags, corrected by which hosts this host could reach itself.
 //
 // # Usage
 //
@@ -7,11 +7,11 @@
 //	view.SetSelf(self)
 //	view.Update(now, hosts)
 //	for _, host := range view.Candidates(now, "program/piran/p1") {
-//		// the first is where the key belongs
+//		// the first host is the key's owner
 //	}
 //
-// Two hosts may have different views. Nothing is decided by a view that must
-// hold: it only says where to ask first.
+// Two hosts may have different views, so no invariant may depend on a view: it only
+// gives the order in which to query hosts.
 package bvhost
 
 import (
@@ -21,23 +21,23 @@
 	"balsamvalve.example/bvplatform"
 )
 
-// distrustTime is how long a host that could not be reached is asked last.
-// It covers the lag of the platform's list; a host that was only cut off for a
-// moment is back after it.
-const distrustTime = 3 * bvclock.Second
+// unreachableTime is how long a host that could not be reached is ranked last. It covers
+// the lag of the platform's list, and is short for a host that was only cut off for a
+// moment.
+const unreachableTime = 3 * bvclock.Second
 
-// View is one host's view of the hosts. The zero value knows of none. It is
-// safe for concurrent use.
+// View is one host's view of the hosts. The zero value is empty. It is safe for
+// concurrent use.
 type View struct {
-	mutex      sync.Mutex
-	self       bvplatform.Host
-	listed     []bvplatform.Host
-	distrusted map[string]bvclock.Time
-	updated    bvclock.Time
+	mutex            sync.Mutex
+	self             bvplatform.Host
+	listed           []bvplatform.Host
+	unreachableUntil map[string]bvclock.Time
+	updated          bvclock.Time
 }
 
-// SetSelf sets this host's own entry, which is in the view whether or not the
-// list shows it yet.
+// SetSelf sets this host's own entry, which is in the view whether or not the list
+// contains it yet.
 func (view *View) SetSelf(self bvplatform.Host) {
 	view.mutex.Lock()
 	defer view.mutex.Unlock()
@@ -51,38 +51,38 @@
 	return view.self
 }
 
-// Update takes over a new list.
+// Update replaces the list of hosts with a newer one.
 func (view *View) Update(now bvclock.Time, hosts []bvplatform.Host) {
 	view.mutex.Lock()
 	defer view.mutex.Unlock()
 	view.listed = hosts
 	view.updated = now
-	for name, until := range view.distrusted {
+	for name, until := range view.unreachableUntil {
 		if now.After(until) {
-			delete(view.distrusted, name)
+			delete(view.unreachableUntil, name)
 		}
 	}
 }
 
-// MarkUnreachable notes that a host could not be reached. The list shows a dead host
-// for seconds; without this, each call in that time would try it first. It
-// reports whether the host was trusted until now.
+// MarkUnreachable records that a host could not be reached. The list contains a failed
+// host for seconds; without this, each call in that time would go to it first. It
+// reports whether the host counted as reachable until now.
 func (view *View) MarkUnreachable(now bvclock.Time, name string) bool {
 	view.mutex.Lock()
 	defer view.mutex.Unlock()
-	if view.distrusted == nil {
-		view.distrusted = make(map[string]bvclock.Time)
+	if view.unreachableUntil == nil {
+		view.unreachableUntil = make(map[string]bvclock.Time)
 	}
-	until, found := view.distrusted[name]
-	view.distrusted[name] = now.Add(distrustTime)
+	until, found := view.unreachableUntil[name]
+	view.unreachableUntil[name] = now.Add(unreachableTime)
 	return !found || now.After(until)
 }
 
-// MarkReachable notes that a host answered.
+// MarkReachable records that a host answered.
 func (view *View) MarkReachable(name string) {
 	view.mutex.Lock()
 	defer view.mutex.Unlock()
-	delete(view.distrusted, name)
+	delete(view.unreachableUntil, name)
 }
 
 // Hosts returns all hosts of the view, this one included.
@@ -119,14 +119,14 @@
 // MaxCandidates is how many hosts Candidates returns at most.
 const MaxCandidates = 8
 
-// Candidates returns the first hosts to ask for a key, in order. Leaving hosts
-// keep their place: they still finish what they have, and say so when they
-// have nothing of the key. Hosts that could not be reached lately come last.
+// Candidates returns the first hosts to query for a key, in order. Leaving hosts keep
+// their rank: they finish the work they have, and answer when they have none for the
+// key. Hosts that could not be reached recently come last.
 func (view *View) Candidates(now bvclock.Time, key string) []bvplatform.Host {
 	view.mutex.Lock()
 	defer view.mutex.Unlock()
-	return rank(view.hosts(), key, MaxCandidates, func(name string) bool {
-		until, found := view.distrusted[name]
+	return rankHosts(view.hosts(), key, MaxCandidates, func(name string) bool {
+		until, found := view.unreachableUntil[name]
 		return found && !now.After(until)
 	})
 }
--- a/bvhost/weight.go
+++ b/bvhost/weight.go
@@ -1,10 +1,10 @@
 package bvhost
 
-// Weight mixes the hashes of a thing and of a key, for rendezvous hashing: a key's first
-// thing is the one with the highest weight. All hosts must compute the same.
-func Weight(thing, key uint64) uint64 {
+// Weight mixes the hashes of an item and of a key, for rendezvous hashing: a key's first
+// item is the one with the highest weight. All hosts must compute the same weights.
+func Weight(item, key uint64) uint64 {
 	const golden = 0x9e3779b97f4a7c15 // 2^64 over the golden ratio
-	mixed := (thing ^ key) * golden
+	mixed := (item ^ key) * golden
 	mixed ^= mixed >> 32
 	mixed *= golden
 	return mixed ^ mixed>>29
--- a/bvkey/ring.go
+++ b/bvkey/ring.go
@@ -1,10 +1,10 @@
-// Package bvkey tells whose key a request carries: the member that the key
-// belongs to and the role of its holder.
+// Package bvkey identifies the holder of the key that a request carries: the member
+// that the key belongs to and the holder's role.
 //
-// A keys file has a key a line, "<member> <role> <key>"; empty lines and lines
-// that begin with # are skipped. The roles are caller (sends programs' calls),
-// operator (edits the member's own rows of the table) and admin (starts an
-// empty table and reads the status of all hosts, but edits no member's row).
+// A keys file has one key per line, "<member> <role> <key>"; empty lines and lines that
+// begin with # are skipped. The roles are caller (sends programs' calls), operator
+// (edits the member's own rows of the table) and admin (starts an empty table and reads
+// the status of all hosts, but edits no member's row).
 //
 // # Usage
 //
@@ -26,16 +26,15 @@
 	"strings"
 )
 
-// minKeyLength is in characters. A shorter key could be guessed by sending
-// requests.
+// minKeyLength is in characters. A shorter key could be guessed by sending requests.
 const minKeyLength = 8
 
-// memberName is what the table's keys and the metrics can carry: no slash, no
-// blank.
+// memberName matches the names that the table's keys and the metrics can carry: without
+// slashes and blanks.
 var memberName = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
 
-// Ring holds keys, hashed. The zero value is empty. A Ring is not changed
-// after it was read and is safe for concurrent use.
+// Ring is a set of hashed keys. The zero value is empty. A Ring is immutable after it
+// was read and is safe for concurrent use.
 type Ring struct {
 	holders []holder
 }
@@ -48,9 +47,9 @@
 
 // Find returns the member and the role that the key belongs to.
 //
-// The key is hashed and compared with every entry in constant time: a lookup
-// that stopped at the first differing byte, or at the first match, would tell
-// a rival by its duration how much of a guessed key is right.
+// The key is hashed and compared with every entry in constant time: the duration of a
+// lookup that stopped at the first differing byte, or at the first match, would reveal
+// to an attacker how much of a guessed key is right.
 func (ring *Ring) Find(key string) (member string, role Role, found bool) {
 	if ring == nil {
 		return "", NoRole, false
@@ -85,8 +84,8 @@
 	return Read(file)
 }
 
-// CallerKeys reads keys like Read and returns the first caller's key of each
-// member, for a client that acts for several.
+// CallerKeys reads keys like Read and returns the first caller's key of each member,
+// for a client that acts for several members.
 func CallerKeys(source io.Reader) (map[string]string, error) {
 	var content strings.Builder
 	if _, err := Read(io.TeeReader(source, &content)); err != nil {
@@ -102,8 +101,8 @@
 	return keys, nil
 }
 
-// Read reads keys, one a line. Errors give the number of the line and never
-// the key.
+// Read reads keys, one per line. Errors contain the number of the line and never the
+// key.
 func Read(source io.Reader) (*Ring, error) {
 	ring := &Ring{}
 	scanner := bufio.NewScanner(source)
@@ -125,7 +124,7 @@
 func (ring *Ring) add(line string) error {
 	fields := strings.Fields(line)
 	if len(fields) != 3 {
-		return fmt.Errorf("has %d fields, not <member> <role> <key>", len(fields))
+		return fmt.Errorf("got %d fields, want <member> <role> <key>", len(fields))
 	}
 	if !memberName.MatchString(fields[0]) {
 		return fmt.Errorf("the member's name may have letters, digits, dots, underscores and hyphens only")
@@ -138,7 +137,7 @@
 		return fmt.Errorf("the key has fewer than %d characters", minKeyLength)
 	}
 	if _, _, found := ring.Find(fields[2]); found {
-		return fmt.Errorf("the key stands in an earlier line too")
+		return fmt.Errorf("the key is also in an earlier line")
 	}
 	ring.holders = append(ring.holders, holder{
 		digest: sha256.Sum256([]byte(fields[2])),
--- a/bvkey/ring_test.go
+++ b/bvkey/ring_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestFindTellsMemberAndRole(t *testing.T) {
+func TestFindReturnsMemberAndRole(t *testing.T) {
 	ring, err := Read(strings.NewReader("# keys of the pilot\n\npiran operator piran-operator-key\nbrindley caller brindley-caller-key\n"))
 	require.NoError(t, err)
 	require.Equal(t, 2, ring.Len())
@@ -23,14 +23,14 @@
 	require.Equal(t, NoRole, role)
 }
 
-// Guards against a key in an error's text.
+// Guards against error messages that reveal a key.
 func TestErrorNamesTheLineAndNotTheKey(t *testing.T) {
 	_, err := Read(strings.NewReader("piran operator piran-operator-key\npiran operater secret-secret\n"))
 	require.ErrorContains(t, err, "line 2")
 	require.NotContains(t, err.Error(), "secret-secret")
 }
 
-// Guards against a key by which one member acts as the other.
+// Guards against a key with which one member can act as another.
 func TestOneKeyForTwoMembersIsRefused(t *testing.T) {
 	_, err := Read(strings.NewReader("piran caller shared-key-1\nbrindley caller shared-key-1\n"))
 	require.ErrorContains(t, err, "earlier line")
--- a/bvkey/role.go
+++ b/bvkey/role.go
@@ -4,7 +4,7 @@
 
 //go:generate stringer -type=Role -linecomment -output=role_string.go
 
-// Role says what the holder of a key may do. The zero value may do nothing.
+// Role defines what the holder of a key may do. The zero value permits nothing.
 type Role int
 
 // The roles.
