--- a/bvgossip/ask.go
+++ b/bvgossip/ask.go
@@ -9,63 +9,64 @@
 )
 
 const (
-	// askTimeout bounds the wait for another host's answer: about as long as the store
-	// takes, which is asked instead.
-	askTimeout = 15 * bvclock.Millisecond
-	// askMemory is how long a late answer is still taken in: the lender has
-	// given the tokens up, so that they would be lost.
-	askMemory = 5 * bvclock.Second
+	// requestTimeout bounds the wait for another host's reply. It is about as long as a
+	// call to the store takes, which is the alternative.
+	requestTimeout = 15 * bvclock.Millisecond
+	// lateReplyWindow is how long a late reply is still accepted. The lender has already
+	// deducted its tokens, so they would be lost otherwise.
+	lateReplyWindow = 5 * bvclock.Second
 )
 
-// question is an Ask under way.
-type question struct {
-	answered chan *Lend // holds one
-	askedAt  bvclock.Time
+// pendingRequest is an Ask in flight.
+type pendingRequest struct {
+	replies chan *Lend // has capacity 1
+	sentAt  bvclock.Time
 }
 
-// RequestTokens asks a host for tokens of a program's budget and waits for its answer a
-// short time. What it gives goes to the Handler's AcceptTokens, also when it is late. A
-// host that is silent is not asked, and one that withholds some has not answered
-// the question whether there is more. RequestTokens sets the question's number.
-func (gossip *Gossip) RequestTokens(ctx context.Context, host netip.AddrPort, ask *Ask) (asked, answered bool) {
-	if gossip.silent(host) {
+// RequestTokens requests tokens of a program's budget from a host and waits for the reply
+// for a short time. The tokens go to the Handler's AcceptTokens, also when the reply is
+// late. No request is sent to a silent host. A reply that is undecided counts as
+// unanswered, because it leaves open whether there are more tokens. RequestTokens sets
+// the Ask's number.
+func (gossip *Gossip) RequestTokens(ctx context.Context, host netip.AddrPort, ask *Ask) (sent, answered bool) {
+	if gossip.isHostSilent(host) {
 		return false, false
 	}
 	ask.Number = rand.Uint64()
-	question := gossip.begin(ask.Number)
+	pending := gossip.registerRequest(ask.Number)
 	gossip.sendTo(host, &Datagram{Message: &Datagram_Ask{Ask: ask}})
 	select {
-	case lend := <-question.answered:
+	case lend := <-pending.replies:
 		return true, !lend.GetWithheld()
-	case <-bvclock.After(askTimeout):
+	case <-bvclock.After(requestTimeout):
 	case <-ctx.Done():
 	}
 	return true, false
 }
 
-// AddressOfIncarnation returns the address of a host's incarnation, if it is heard.
+// AddressOfIncarnation returns the address of a host's incarnation, unless it is silent.
 func (gossip *Gossip) AddressOfIncarnation(incarnation string) (netip.AddrPort, bool) {
-	return gossip.find(func(digest *Digest) bool { return digest.GetIncarnation() == incarnation })
+	return gossip.findHost(func(digest *Digest) bool { return digest.GetIncarnation() == incarnation })
 }
 
-// AddressOfHost returns the address of a host by its name, if it is heard.
+// AddressOfHost returns the address of a host by its name, unless it is silent.
 func (gossip *Gossip) AddressOfHost(host string) (netip.AddrPort, bool) {
-	return gossip.find(func(digest *Digest) bool { return digest.GetHost() == host })
+	return gossip.findHost(func(digest *Digest) bool { return digest.GetHost() == host })
 }
 
-func (gossip *Gossip) find(is func(digest *Digest) bool) (netip.AddrPort, bool) {
+func (gossip *Gossip) findHost(matches func(digest *Digest) bool) (netip.AddrPort, bool) {
 	now := gossip.clock.Now()
 	gossip.mutex.Lock()
 	defer gossip.mutex.Unlock()
 	for address, peer := range gossip.hosts {
-		if !gossip.isSilent(now, peer) && is(peer.digest) {
+		if !gossip.isSilent(now, peer) && matches(peer.digest) {
 			return address, true
 		}
 	}
 	return netip.AddrPort{}, false
 }
 
-func (gossip *Gossip) silent(host netip.AddrPort) bool {
+func (gossip *Gossip) isHostSilent(host netip.AddrPort) bool {
 	now := gossip.clock.Now()
 	gossip.mutex.Lock()
 	defer gossip.mutex.Unlock()
@@ -73,29 +74,29 @@
 	return found == nil || gossip.isSilent(now, found)
 }
 
-func (gossip *Gossip) begin(number uint64) *question {
+func (gossip *Gossip) registerRequest(number uint64) *pendingRequest {
 	now := gossip.clock.Now()
 	gossip.mutex.Lock()
 	defer gossip.mutex.Unlock()
-	for other, asked := range gossip.asks {
-		if now.Sub(asked.askedAt) > askMemory {
-			delete(gossip.asks, other)
+	for other, pending := range gossip.requests {
+		if now.Sub(pending.sentAt) > lateReplyWindow {
+			delete(gossip.requests, other)
 		}
 	}
-	begun := &question{answered: make(chan *Lend, 1), askedAt: now}
-	gossip.asks[number] = begun
-	return begun
+	pending := &pendingRequest{replies: make(chan *Lend, 1), sentAt: now}
+	gossip.requests[number] = pending
+	return pending
 }
 
-// lent takes in an answer, once: a datagram may come twice.
-func (gossip *Gossip) lent(lend *Lend, handler Handler) {
+// handleLend passes a reply to the handler once, as a datagram may arrive twice.
+func (gossip *Gossip) handleLend(lend *Lend, handler Handler) {
 	gossip.mutex.Lock()
-	asked := gossip.asks[lend.GetNumber()]
-	delete(gossip.asks, lend.GetNumber())
+	pending := gossip.requests[lend.GetNumber()]
+	delete(gossip.requests, lend.GetNumber())
 	gossip.mutex.Unlock()
-	if asked == nil {
+	if pending == nil {
 		return
 	}
 	handler.AcceptTokens(lend.GetProgram(), int(lend.GetTokens()), lend.GetHolders())
-	asked.answered <- lend
+	pending.replies <- lend
 }
--- a/bvgossip/claim.go
+++ b/bvgossip/claim.go
@@ -6,43 +6,45 @@
 	"balsamvalve.example/bvclock"
 )
 
-// Requests of a workspace that nears its usage cap are granted by the workspace's
-// allocator, a host on which all agree by rendezvous hashing.
+// Requests of a workspace that is close to its usage cap are granted by the workspace's
+// allocator, a host that all hosts choose alike by rendezvous hashing.
 
 const (
 	// claimTimeout bounds the wait for an allocator, which answers in a few milliseconds
-	// unless it is slow or lost.
+	// unless it is slow or has failed.
 	claimTimeout = 30 * bvclock.Millisecond
-	// maxAllocators is how many hosts are asked for one request.
+	// maxAllocators is how many allocators are queried for one request.
 	maxAllocators = 2
 )
 
-// SetSettled notes that this host has heard for long enough what the others run to
-// allocate usage caps.
+// SetSettled marks this host as settled: it has received the other hosts' usage for long
+// enough to allocate usage caps.
 func (gossip *Gossip) SetSettled() { gossip.settled.Store(true) }
 
-// Allocators returns the addresses of the hosts to ask for a request of a workspace, in
-// order. Hosts that did not answer lately are left out; it tells whether the first is.
-func (gossip *Gossip) Allocators(workspace uint32) (answering []netip.AddrPort, firstLeftOut bool) {
+// Allocators returns the addresses of the hosts to query for a request of a workspace, in
+// order. Hosts that recently did not answer are skipped; firstSkipped reports whether the
+// first one is among them.
+func (gossip *Gossip) Allocators(workspace uint32) (addresses []netip.AddrPort, firstSkipped bool) {
 	now := gossip.clock.Now()
 	gossip.mutex.Lock()
 	defer gossip.mutex.Unlock()
 	for i, address := range gossip.trackers.ofWorkspace(workspace, maxAllocators) {
-		if now.Before(gossip.mutedUntil[address]) {
-			firstLeftOut = firstLeftOut || i == 0
+		if now.Before(gossip.backoffUntil[address]) {
+			firstSkipped = firstSkipped || i == 0
 			continue
 		}
-		answering = append(answering, address)
+		addresses = append(addresses, address)
 	}
-	return answering, firstLeftOut
+	return addresses, firstSkipped
 }
 
 // IsSelf reports whether an address is this host's own.
 func (gossip *Gossip) IsSelf(address netip.AddrPort) bool { return address == gossip.own.address }
 
-// SendClaim asks an allocator for a request. It returns nil where no answer came in time.
+// SendClaim asks an allocator to grant a request. It returns nil if no answer arrives in
+// time.
 func (gossip *Gossip) SendClaim(allocator netip.AddrPort, claim *Claim) (claimed *Claimed) {
 	probes := map[netip.AddrPort]*Probe{allocator: {Claim: claim}}
-	gossip.ask(probes, claimTimeout, func(answer *Counts) { claimed = answer.GetClaimed() })
+	gossip.queryTrackers(probes, claimTimeout, func(reply *Counts) { claimed = reply.GetClaimed() })
 	return claimed
 }
--- a/bvgossip/claim_test.go
+++ b/bvgossip/claim_test.go
@@ -11,46 +11,46 @@
 
 func TestClaimIsAnsweredByTheAllocator(t *testing.T) {
 	a, b := newHost(t, "a", bvclock.Boot()), newHost(t, "b", bvclock.Boot())
-	meet(t, a, b)
+	exchangeDigests(t, a, b)
 	b.mutex.Lock()
-	b.grant = true
+	b.granting = true
 	b.mutex.Unlock()
 	claimed := a.SendClaim(b.address, &Claim{Workspace: 1, Count: 7})
 	require.True(t, claimed.GetGranted())
 	require.EqualValues(t, 7, claimed.GetWait())
 }
 
-// Guards against requests that wait for a lost allocator again and again.
-func TestAllocatorThatDoesNotAnswerIsLeftOut(t *testing.T) {
+// Guards against each request waiting for an allocator that has failed.
+func TestAllocatorThatDoesNotAnswerIsSkipped(t *testing.T) {
 	a, b := newHost(t, "a", bvclock.Boot()), newHost(t, "b", bvclock.Boot())
-	meet(t, a, b)
-	a.setTrackers()
-	all, leftOut := a.Allocators(1)
+	exchangeDigests(t, a, b)
+	a.updateTrackers()
+	all, skipped := a.Allocators(1)
 	require.Len(t, all, 2)
-	require.False(t, leftOut)
+	require.False(t, skipped)
 	require.NoError(t, b.conn.Close())
 	require.Nil(t, a.SendClaim(b.address, &Claim{Workspace: 1}))
-	answering, leftOut := a.Allocators(1)
-	require.Equal(t, []netip.AddrPort{a.address}, answering)
-	require.Equal(t, all[0] == b.address, leftOut)
+	remaining, skipped := a.Allocators(1)
+	require.Equal(t, []netip.AddrPort{a.address}, remaining)
+	require.Equal(t, all[0] == b.address, skipped)
 }
 
-// Guards against allocators that have just started and know nothing of what was run.
+// Guards against allocators that have just started and have no usage of other hosts.
 func TestAllocatorsAreSettledHostsWhereThereAreAny(t *testing.T) {
-	var hosts trackers
+	var known trackers
 	for i := range 20 {
 		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 7380)
-		hosts.add("z", newCandidate(address), i == 3 || i == 4)
+		known.add("z", newCandidate(address), i == 3 || i == 4)
 	}
 	for workspace := range uint32(50) {
-		require.Len(t, hosts.ofWorkspace(workspace, 2), 2)
-		for _, allocator := range hosts.ofWorkspace(workspace, 2) {
+		require.Len(t, known.ofWorkspace(workspace, 2), 2)
+		for _, allocator := range known.ofWorkspace(workspace, 2) {
 			require.Contains(t, []byte{3, 4}, allocator.Addr().As4()[3])
 		}
 	}
 }
 
-// Guards against hosts that ask different allocators for one workspace.
+// Guards against hosts that query different allocators for one workspace.
 func TestHostsAgreeOnAllocators(t *testing.T) {
 	var here, there trackers
 	for i := range 20 {
--- a/bvgossip/gossip.go
+++ b/bvgossip/gossip.go
@@ -1,24 +1,23 @@
-// Package bvgossip tells the hosts of each other's calls, a few times a second
-// and by datagrams: which endpoints are busy with whose calls, and which of
-// them have which parts of prompts. Each endpoint also has a tracker, a host that is
-// told of each call there at once and answers others how many there are. Nothing that
-// must hold rests on it: a datagram that is lost makes a decision worse, not wrong.
+// Package bvgossip exchanges the state of calls between hosts, a few times a second and by
+// datagrams: which endpoints run whose calls, and which parts of prompts they have. Each
+// endpoint also has a tracker, a host to which each call there is reported at once and
+// which answers queries for their number. No invariant depends on gossip: a datagram that
+// is lost makes a decision worse, not wrong.
 //
 // # Usage
 //
-//	gossip := bvgossip.New(self, connection, clock, log)
+//	gossip := bvgossip.New(self, zone, connection, clock, log, endpoints)
 //	gossip.SetHosts(hosts) // as the platform's store lists them
-//	go gossip.Receive(handle)
+//	go gossip.Receive(handler)
 //	gossip.SendDigest(digest) // every gossip.Interval()
 //	loads := gossip.PeerLoads(digest)
-//	counts := gossip.QueryRunning(endpoints) // of this moment
+//	counts := gossip.QueryRunning(endpoints) // up to date
 //
 // # Cost
 //
-// Each host sends a datagram of some hundred bytes to each other host, less
-// often to those in other availability zones. The intervals grow with the number of
-// hosts. A call costs some fifteen datagrams more for trackers, however many hosts
-// there are.
+// Each host sends a datagram of a few hundred bytes to each other host, less often to
+// those in other availability zones. The intervals grow with the number of hosts. A call
+// costs about fifteen datagrams more for trackers, independent of the number of hosts.
 package bvgossip
 
 import (
@@ -38,30 +37,32 @@
 //go:generate sh -c "cd .. && buf generate --path bvgossip/digest.proto"
 
 const (
-	// leastInterval is the time between two digests where there are few hosts: short
-	// beside a call.
-	leastInterval = 100 * bvclock.Millisecond
-	// farInterval is the time between two digests to hosts in other availability
-	// zones: operators pay for bytes between zones, and trackers tell of the calls
-	// there that a decision depends on.
-	farInterval = 400 * bvclock.Millisecond
-	// farPerHost lengthens that by the number of hosts, and fullHosts is up to how
-	// many hosts those of other zones are told of calls at all endpoints, and not
-	// only at those of their own zone: beyond, that would be most of all bytes.
-	farPerHost = 6 * bvclock.Millisecond
-	fullHosts  = 120
-	// perHost lengthens the interval by the number of hosts, so that a host has not
-	// more to read the more there are. Decisions ask trackers for what is newer.
-	perHost = 2 * bvclock.Millisecond
-	// silentAfter is how long after its last digest a host's calls are no
-	// longer counted, and silentPauses the least, in pauses between its digests: one or
-	// two of them may be lost.
-	silentAfter  = 1500 * bvclock.Millisecond
-	silentPauses = 3
-	// trialInterval is the time between two digests to a silent host.
-	trialInterval = 2 * bvclock.Second
-	// datagramBytes is the most that one datagram holds.
-	datagramBytes = 32 << 10
+	// minInterval is the time between two digests where there are few hosts. It is short
+	// compared to a call.
+	minInterval = 100 * bvclock.Millisecond
+	// minCrossZoneInterval is the least time between two digests to hosts in other
+	// availability zones. It is longer because operators pay for bytes between zones, and
+	// trackers report the calls there that a decision depends on.
+	minCrossZoneInterval = 400 * bvclock.Millisecond
+	// crossZoneIntervalPerHost lengthens that with the number of hosts. Up to
+	// maxFullDigestHosts hosts, digests to other zones contain the calls at all endpoints;
+	// with more hosts only those at endpoints of the receiver's zone, because the others
+	// would be most of all bytes.
+	crossZoneIntervalPerHost = 6 * bvclock.Millisecond
+	maxFullDigestHosts       = 120
+	// intervalPerHost lengthens the interval with the number of hosts, so that a host does
+	// not receive more digests per second the more hosts there are. Decisions query
+	// trackers for newer counts.
+	intervalPerHost = 2 * bvclock.Millisecond
+	// silenceTimeout is how long after its last digest a host counts as silent and its
+	// calls are no longer counted. It is at least silenceIntervals intervals between its
+	// digests, because one or two of them may be lost.
+	silenceTimeout   = 1500 * bvclock.Millisecond
+	silenceIntervals = 3
+	// silentHostInterval is the time between two digests to a silent host.
+	silentHostInterval = 2 * bvclock.Second
+	// maxDatagramBytes is the maximum size of a datagram.
+	maxDatagramBytes = 32 << 10
 )
 
 // Gossip sends and receives digests. Make one with New.
@@ -72,34 +73,35 @@
 	clock bvclock.Clock
 	log   logrus.FieldLogger
 
-	mutex sync.Mutex
-	hosts map[netip.AddrPort]*peer
-	asks  map[uint64]*question
-	farAt bvclock.Time // last digest to other zones
-	zones map[string]zoneTotals
+	mutex           sync.Mutex
+	hosts           map[netip.AddrPort]*peer
+	requests        map[uint64]*pendingRequest
+	crossZoneSentAt bvclock.Time // when the last digest was sent to other zones
+	zones           map[string]zoneTotals
 
-	own        candidate   // this host
-	settled    atomic.Bool // this host may allocate usage caps
-	tracker    tracker
-	trackers   trackers
-	holdings   holdings
-	probes     map[uint64]*probing
-	asked      int64 // trackers, since the start
-	unanswered int64
-	mutedUntil map[netip.AddrPort]bvclock.Time
+	own          candidate   // this host
+	settled      atomic.Bool // this host may allocate usage caps
+	tracker      tracker
+	trackers     trackers
+	holdings     holdings
+	probes       map[uint64]*pendingProbe
+	queried      int64 // queries to trackers since the start
+	unanswered   int64
+	backoffUntil map[netip.AddrPort]bvclock.Time
 
 	endpoints Endpoints
 
-	// What other zones are not told yet; Send's alone.
-	placements []*Placement
-	programs   []uint64
+	// Placements and programs that were not sent to other zones yet. Only SendDigest uses
+	// them.
+	pendingPlacements []*Placement
+	pendingPrograms   []uint64
 }
 
-// Endpoints are the endpoints as this host knows them, by the hashes of their IDs.
+// Endpoints are the endpoints that this host knows, by the hashes of their IDs.
 type Endpoints interface {
-	// ZoneOf returns an endpoint's availability zone, or "" where it is not listed.
+	// ZoneOf returns an endpoint's availability zone, or "" if it is not listed.
 	ZoneOf(endpoint uint64) string
-	// RunningAt returns how many calls of this host are under way at an endpoint.
+	// RunningAt returns how many calls of this host are in flight at an endpoint.
 	RunningAt(endpoint uint64) int
 }
 
@@ -111,55 +113,55 @@
 	return &Gossip{
 		self: self, zone: zone, conn: conn, clock: clock, log: log, endpoints: endpoints,
 		own:    newCandidate(conn.LocalAddr().(*net.UDPAddr).AddrPort()),
-		probes: make(map[uint64]*probing), mutedUntil: make(map[netip.AddrPort]bvclock.Time),
-		hosts: make(map[netip.AddrPort]*peer), asks: make(map[uint64]*question), zones: make(map[string]zoneTotals),
+		probes: make(map[uint64]*pendingProbe), backoffUntil: make(map[netip.AddrPort]bvclock.Time),
+		hosts: make(map[netip.AddrPort]*peer), requests: make(map[uint64]*pendingRequest), zones: make(map[string]zoneTotals),
 	}
 }
 
-// Interval is the time to wait between two digests.
+// Interval returns the time to wait between two digests.
 func (gossip *Gossip) Interval() bvclock.Duration {
 	gossip.mutex.Lock()
 	defer gossip.mutex.Unlock()
-	return gossip.nearPause()
+	return gossip.interval()
 }
 
-// nearPause is the time between two digests to this host's availability zone. The caller
-// holds the mutex.
-func (gossip *Gossip) nearPause() bvclock.Duration {
-	return max(leastInterval, bvclock.Duration(len(gossip.hosts))*perHost)
+// interval returns the time between two digests to this host's availability zone. The
+// caller holds the mutex.
+func (gossip *Gossip) interval() bvclock.Duration {
+	return max(minInterval, bvclock.Duration(len(gossip.hosts))*intervalPerHost)
 }
 
-// SendDigest sends a digest to the hosts of this availability zone, and, when it is
-// time, one with all that happened since the last to those of other zones. Hosts
-// that are silent get one every few seconds, in case that they are back. It is
-// not safe for concurrent use.
+// SendDigest sends a digest to the hosts of this availability zone. When one is due to
+// other zones, it sends them one with all placements and programs since the last. Silent
+// hosts are sent one every few seconds, in case they are reachable again. It is not safe
+// for concurrent use.
 func (gossip *Gossip) SendDigest(digest *Digest) {
-	gossip.setTrackers()
-	near, far := gossip.due()
-	gossip.sendAll(digest, near)
-	gossip.placements = append(gossip.placements, digest.Placements...)
-	gossip.programs = append(gossip.programs, digest.Programs...)
-	if far == nil {
+	gossip.updateTrackers()
+	sameZone, otherZones := gossip.dueHosts()
+	gossip.sendDigestTo(digest, sameZone)
+	gossip.pendingPlacements = append(gossip.pendingPlacements, digest.Placements...)
+	gossip.pendingPrograms = append(gossip.pendingPrograms, digest.Programs...)
+	if otherZones == nil {
 		return
 	}
-	totals := gossip.totals(digest)
-	digest.Placements, digest.Programs, digest.Outcomes = gossip.placements, gossip.programs, nil
-	share := gossip.totalsShare()
-	for zone, addresses := range far {
-		short := gossip.digestFor(digest, zone)
-		told, rest := split(addresses, share)
-		gossip.sendAll(short, rest)
+	totals := gossip.sumZoneTotals(digest)
+	digest.Placements, digest.Programs, digest.Outcomes = gossip.pendingPlacements, gossip.pendingPrograms, nil
+	fraction := gossip.totalsFraction()
+	for zone, addresses := range otherZones {
+		short := gossip.trimDigest(digest, zone)
+		withTotals, withoutTotals := splitAtRandom(addresses, fraction)
+		gossip.sendDigestTo(short, withoutTotals)
 		short.Totals = totals
-		gossip.sendAll(short, told)
+		gossip.sendDigestTo(short, withTotals)
 		short.Totals = nil
 	}
-	gossip.placements, gossip.programs = nil, nil
+	gossip.pendingPlacements, gossip.pendingPrograms = nil, nil
 }
 
-// digestFor leaves out of a digest what hosts of another availability zone have
-// little use for, where there are many hosts.
-func (gossip *Gossip) digestFor(digest *Digest, zone string) *Digest {
-	if gossip.size() <= fullHosts {
+// trimDigest returns a digest for another availability zone. Where there are many hosts,
+// it leaves out the calls and placements at endpoints of other zones than that one.
+func (gossip *Gossip) trimDigest(digest *Digest, zone string) *Digest {
+	if gossip.hostCount() <= maxFullDigestHosts {
 		return digest
 	}
 	short := &Digest{
@@ -180,15 +182,15 @@
 	return short
 }
 
-func (gossip *Gossip) size() int {
+func (gossip *Gossip) hostCount() int {
 	gossip.mutex.Lock()
 	defer gossip.mutex.Unlock()
 	return len(gossip.hosts)
 }
 
-func (gossip *Gossip) sendAll(digest *Digest, addresses []netip.AddrPort) {
+func (gossip *Gossip) sendDigestTo(digest *Digest, addresses []netip.AddrPort) {
 	encoded, err := proto.Marshal(&Datagram{Message: &Datagram_Digest{Digest: digest}})
-	if err != nil || len(encoded) > datagramBytes {
+	if err != nil || len(encoded) > maxDatagramBytes {
 		gossip.log.WithError(err).WithField("bytes", len(encoded)).Warn("digest can't be sent")
 		return
 	}
@@ -199,54 +201,57 @@
 	}
 }
 
-// due returns the hosts that are to get a digest now, those of other availability
-// zones by zone, and nil until it is their time.
-func (gossip *Gossip) due() (near []netip.AddrPort, far map[string][]netip.AddrPort) {
+// dueHosts returns the hosts to which a digest is to be sent now. Those of other
+// availability zones are grouped by zone; the map is nil until a digest to them is due.
+func (gossip *Gossip) dueHosts() (sameZone []netip.AddrPort, otherZones map[string][]netip.AddrPort) {
 	now := gossip.clock.Now()
 	gossip.mutex.Lock()
 	defer gossip.mutex.Unlock()
-	farDue := now.Sub(gossip.farAt) >= gossip.farPause()
-	if farDue {
-		gossip.farAt, far = now, make(map[string][]netip.AddrPort)
+	crossZoneDue := now.Sub(gossip.crossZoneSentAt) >= gossip.crossZoneInterval()
+	if crossZoneDue {
+		gossip.crossZoneSentAt, otherZones = now, make(map[string][]netip.AddrPort)
 	}
 	for address, peer := range gossip.hosts {
 		zone := peer.digest.GetZone()
 		switch {
-		case gossip.isSilent(now, peer) && now.Sub(peer.triedAt) < trialInterval:
+		case gossip.isSilent(now, peer) && now.Sub(peer.sentAt) < silentHostInterval:
 			continue
 		case peer.digest == nil || zone == gossip.zone:
-			near = append(near, address)
-		case farDue:
-			far[zone] = append(far[zone], address)
+			sameZone = append(sameZone, address)
+		case crossZoneDue:
+			otherZones[zone] = append(otherZones[zone], address)
 		default:
 			continue
 		}
-		peer.triedAt = now
+		peer.sentAt = now
 	}
-	return near, far
+	return sameZone, otherZones
 }
 
-// farPause is the time between two digests to other availability zones.
-func (gossip *Gossip) farPause() bvclock.Duration {
-	return max(farInterval, bvclock.Duration(len(gossip.hosts))*farPerHost)
+// crossZoneInterval returns the time between two digests to other availability zones. The
+// caller holds the mutex.
+func (gossip *Gossip) crossZoneInterval() bvclock.Duration {
+	return max(minCrossZoneInterval, bvclock.Duration(len(gossip.hosts))*crossZoneIntervalPerHost)
 }
 
-// Handler takes in what other hosts send.
+// Handler handles the messages of other hosts.
 type Handler interface {
-	// HandleDigest takes in a digest.
+	// HandleDigest handles a digest.
 	HandleDigest(digest *Digest)
-	// LendTokens gives up tokens of a program's budget for the host at an address. The
-	// answer's number and program are set by the caller.
+	// LendTokens deducts tokens of a program's budget here and lends them to the host at an
+	// address. The caller sets the reply's number and program.
 	LendTokens(host string, ask *Ask) *Lend
-	// DecideClaim decides on a request of another host that nears a usage cap.
+	// DecideClaim decides on a request of another host whose workspace is close to its
+	// usage cap.
 	DecideClaim(claim *Claim) *Claimed
-	// AcceptTokens takes in tokens that another host gave up.
+	// AcceptTokens adds tokens that another host lent. Holders are the addresses of other
+	// hosts that may have some.
 	AcceptTokens(program string, tokens int, holders []string)
 }
 
-// Receive hands on what other hosts send until the socket is closed.
+// Receive passes the messages of other hosts to the handler until the socket is closed.
 func (gossip *Gossip) Receive(handler Handler) error {
-	buffer := make([]byte, datagramBytes)
+	buffer := make([]byte, maxDatagramBytes)
 	for {
 		count, from, err := gossip.conn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -260,14 +265,14 @@
 			gossip.log.WithError(err).Debug("datagram can't be read")
 			continue
 		}
-		gossip.handle(datagram, from, handler)
+		gossip.handleDatagram(datagram, from, handler)
 	}
 }
 
-func (gossip *Gossip) handle(datagram *Datagram, from netip.AddrPort, handler Handler) {
+func (gossip *Gossip) handleDatagram(datagram *Datagram, from netip.AddrPort, handler Handler) {
 	switch message := datagram.GetMessage().(type) {
 	case *Datagram_Digest:
-		if gossip.note(message.Digest) {
+		if gossip.storeDigest(message.Digest) {
 			handler.HandleDigest(message.Digest)
 		}
 	case *Datagram_Ask:
@@ -276,15 +281,15 @@
 		lend.Number, lend.Program = ask.GetNumber(), ask.GetProgram()
 		gossip.sendTo(from, &Datagram{Message: &Datagram_Lend{Lend: lend}})
 	case *Datagram_Lend:
-		gossip.lent(message.Lend, handler)
+		gossip.handleLend(message.Lend, handler)
 	case *Datagram_Probe:
-		gossip.answerProbe(from, message.Probe, handler)
+		gossip.handleProbe(from, message.Probe, handler)
 	case *Datagram_Counts:
-		gossip.takeCounts(from, message.Counts)
+		gossip.handleCounts(from, message.Counts)
 	case *Datagram_Use:
-		gossip.noteUse(from, message.Use)
+		gossip.handleUse(from, message.Use)
 	case *Datagram_Holding:
-		gossip.noteHolding(message.Holding)
+		gossip.handleHolding(message.Holding)
 	}
 }
 
@@ -298,17 +303,18 @@
 	}
 }
 
-// note keeps a digest; it reports whether it is of another host.
-func (gossip *Gossip) note(digest *Digest) bool {
+// storeDigest stores a digest of another host. It returns false if the digest is this
+// host's own or has no valid address.
+func (gossip *Gossip) storeDigest(digest *Digest) bool {
 	address, err := netip.ParseAddrPort(digest.GetAddress())
 	if err != nil || digest.GetIncarnation() == gossip.self {
 		return false
 	}
 	gossip.mutex.Lock()
 	defer gossip.mutex.Unlock()
-	peer := gossip.peer(address)
+	peer := gossip.getOrAddPeer(address)
 	peer.digest, peer.lastSeen = digest, gossip.clock.Now()
-	gossip.noteTotals(peer.lastSeen, digest)
-	gossip.tracker.noteAll(peer.lastSeen, address, digest.GetLoads())
+	gossip.storeTotals(peer.lastSeen, digest)
+	gossip.tracker.setAll(peer.lastSeen, address, digest.GetLoads())
 	return true
 }
--- a/bvgossip/gossip_test.go
+++ b/bvgossip/gossip_test.go
@@ -18,18 +18,18 @@
 
 const testTimeout = 10 * time.Second
 
-// host is a Gossip on a socket, with what its handler got.
+// host is a Gossip on a socket, and a Handler that records what it receives.
 type host struct {
 	*Gossip
 	address netip.AddrPort
 
-	mutex sync.Mutex
-	heard []*Digest
-	lent  int
-	holds int // tokens that it can lend
-	grant bool
-	// withholds: it may have more, but can't say so
-	withholds bool
+	mutex    sync.Mutex
+	received []*Digest
+	accepted int
+	lendable int // tokens that this host can lend
+	granting bool
+	// undecided: its replies leave open whether it has more tokens
+	undecided bool
 }
 
 // fakeEndpoints are the availability zones of endpoints. This host has no calls there.
@@ -41,49 +41,49 @@
 func (host *host) HandleDigest(digest *Digest) {
 	host.mutex.Lock()
 	defer host.mutex.Unlock()
-	host.heard = append(host.heard, digest)
+	host.received = append(host.received, digest)
 }
 
 func (host *host) LendTokens(_ string, ask *Ask) *Lend {
 	host.mutex.Lock()
 	defer host.mutex.Unlock()
 	tokens := int(ask.GetTokens())
-	if host.holds < tokens && !ask.GetPartial() {
-		return &Lend{Withheld: host.withholds}
+	if host.lendable < tokens && !ask.GetPartial() {
+		return &Lend{Withheld: host.undecided}
 	}
-	lent := min(tokens, host.holds)
-	host.holds -= lent
+	lent := min(tokens, host.lendable)
+	host.lendable -= lent
 	return &Lend{Tokens: uint32(lent)}
 }
 
 func (host *host) AcceptTokens(_ string, tokens int, _ []string) {
 	host.mutex.Lock()
 	defer host.mutex.Unlock()
-	host.lent += tokens
+	host.accepted += tokens
 }
 
 func (host *host) DecideClaim(claim *Claim) *Claimed {
 	host.mutex.Lock()
 	defer host.mutex.Unlock()
-	return &Claimed{Granted: host.grant, Wait: claim.GetCount()}
+	return &Claimed{Granted: host.granting, Wait: claim.GetCount()}
 }
 
-func (host *host) hold(tokens int) {
+func (host *host) setLendable(tokens int) {
 	host.mutex.Lock()
 	defer host.mutex.Unlock()
-	host.holds = tokens
+	host.lendable = tokens
 }
 
 func (host *host) digests() []*Digest {
 	host.mutex.Lock()
 	defer host.mutex.Unlock()
-	return slices.Clone(host.heard)
+	return slices.Clone(host.received)
 }
 
-func (host *host) tokens() int {
+func (host *host) acceptedTokens() int {
 	host.mutex.Lock()
 	defer host.mutex.Unlock()
-	return host.lent
+	return host.accepted
 }
 
 func newHost(t testing.TB, incarnation string, clock bvclock.Clock) *host {
@@ -96,11 +96,11 @@
 	log := logrus.New()
 	log.SetLevel(logrus.PanicLevel)
 	host := &host{Gossip: New(incarnation, "z", conn, clock, log, endpoints), address: conn.LocalAddr().(*net.UDPAddr).AddrPort()}
-	ended := make(chan error, 1)
-	go func() { ended <- host.Receive(host) }()
+	closed := make(chan error, 1)
+	go func() { closed <- host.Receive(host) }()
 	t.Cleanup(func() {
 		_ = conn.Close()
-		require.NoError(t, <-ended)
+		require.NoError(t, <-closed)
 	})
 	return host
 }
@@ -109,9 +109,9 @@
 	return &Digest{Host: host.self, Incarnation: host.self, Address: host.address.String(), Zone: host.zone}
 }
 
-// meet makes both hosts hear of each other, by one digest each: none is under
-// way afterwards.
-func meet(t testing.TB, a, b *host) {
+// exchangeDigests makes both hosts peers by one digest each. No datagram is in flight
+// afterwards.
+func exchangeDigests(t testing.TB, a, b *host) {
 	a.SetHosts([]netip.AddrPort{b.address})
 	a.SendDigest(a.digest())
 	require.Eventually(t, func() bool { return len(b.LivePeers()) == 1 }, testTimeout, time.Millisecond)
@@ -119,118 +119,119 @@
 	require.Eventually(t, func() bool { return len(a.LivePeers()) == 1 }, testTimeout, time.Millisecond)
 }
 
-// Guards against a new host that the others don't know until they read the list.
+// Guards against a new host that the others don't know until they read the platform's
+// list.
 func TestHostsLearnOfEachOtherByDigests(t *testing.T) {
 	a, b := newHost(t, "a", bvclock.Boot()), newHost(t, "b", bvclock.Boot())
-	meet(t, a, b)
+	exchangeDigests(t, a, b)
 	require.Equal(t, "b", a.LivePeers()[0].GetHost())
 }
 
-// A host dies. Its calls stop counting soon, and it is asked for nothing.
+// Guards against failed hosts whose calls still count, or to which requests are sent.
 func TestSilentHostNoLongerCounts(t *testing.T) {
 	clock := &bvclock.Manual{}
 	clock.Advance(bvclock.Minute)
 	a, b := newHost(t, "a", clock), newHost(t, "b", clock)
-	meet(t, a, b)
-	clock.Advance(silentAfter + 1)
+	exchangeDigests(t, a, b)
+	clock.Advance(silenceTimeout + 1)
 	require.Empty(t, a.LivePeers())
-	asked, answered := a.RequestTokens(t.Context(), b.address, &Ask{Program: "p", Tokens: 10})
-	require.False(t, asked)
+	sent, answered := a.RequestTokens(t.Context(), b.address, &Ask{Program: "p", Tokens: 10})
+	require.False(t, sent)
 	require.False(t, answered)
-	_, heard := a.AddressOfIncarnation("b")
-	require.False(t, heard)
+	_, found := a.AddressOfIncarnation("b")
+	require.False(t, found)
 }
 
 func TestTokensAreLent(t *testing.T) {
 	a, b := newHost(t, "a", bvclock.Boot()), newHost(t, "b", bvclock.Boot())
-	meet(t, a, b)
-	b.hold(100)
-	asked, _ := a.RequestTokens(t.Context(), b.address, &Ask{Program: "p", Tokens: 60})
-	require.True(t, asked)
-	require.Eventually(t, func() bool { return a.tokens() == 60 }, testTimeout, time.Millisecond)
-	asked, _ = a.RequestTokens(t.Context(), b.address, &Ask{Program: "p", Tokens: 60, Partial: true})
-	require.True(t, asked)
-	require.Eventually(t, func() bool { return a.tokens() == 100 }, testTimeout, time.Millisecond)
+	exchangeDigests(t, a, b)
+	b.setLendable(100)
+	sent, _ := a.RequestTokens(t.Context(), b.address, &Ask{Program: "p", Tokens: 60})
+	require.True(t, sent)
+	require.Eventually(t, func() bool { return a.acceptedTokens() == 60 }, testTimeout, time.Millisecond)
+	sent, _ = a.RequestTokens(t.Context(), b.address, &Ask{Program: "p", Tokens: 60, Partial: true})
+	require.True(t, sent)
+	require.Eventually(t, func() bool { return a.acceptedTokens() == 100 }, testTimeout, time.Millisecond)
 }
 
-// Guards against tokens that are taken in twice.
-func TestAnswerThatComesTwiceCountsOnce(t *testing.T) {
+// Guards against tokens that are added twice.
+func TestDuplicateReplyCountsOnce(t *testing.T) {
 	a := newHost(t, "a", bvclock.Boot())
-	a.begin(7)
-	answer := &Lend{Number: 7, Program: "p", Tokens: 50}
-	a.Gossip.lent(answer, a)
-	a.Gossip.lent(answer, a)
-	require.Equal(t, 50, a.tokens())
+	a.registerRequest(7)
+	lend := &Lend{Number: 7, Program: "p", Tokens: 50}
+	a.Gossip.handleLend(lend, a)
+	a.Gossip.handleLend(lend, a)
+	require.Equal(t, 50, a.acceptedTokens())
 }
 
-// Guards against tokens that are lost with a late answer.
-func TestLateAnswerIsTakenIn(t *testing.T) {
+// Guards against tokens that are lost with a late reply.
+func TestLateReplyIsAccepted(t *testing.T) {
 	clock := &bvclock.Manual{}
 	a := newHost(t, "a", clock)
-	a.begin(7)
-	clock.Advance(askMemory)
-	a.begin(8)
-	a.Gossip.lent(&Lend{Number: 7, Program: "p", Tokens: 50}, a)
-	require.Equal(t, 50, a.tokens())
+	a.registerRequest(7)
+	clock.Advance(lateReplyWindow)
+	a.registerRequest(8)
+	a.Gossip.handleLend(&Lend{Number: 7, Program: "p", Tokens: 50}, a)
+	require.Equal(t, 50, a.acceptedTokens())
 }
 
 func TestOwnDigestsAndOtherBytesAreIgnored(t *testing.T) {
 	a, b := newHost(t, "a", bvclock.Boot()), newHost(t, "b", bvclock.Boot())
 	_, err := b.conn.WriteToUDPAddrPort([]byte("no digest"), a.address)
 	require.NoError(t, err)
-	require.False(t, a.note(a.digest()))
-	meet(t, a, b)
+	require.False(t, a.storeDigest(a.digest()))
+	exchangeDigests(t, a, b)
 	require.Len(t, a.LivePeers(), 1)
 }
 
-// A program's row names an incarnation, which must be found at its address.
-func TestIncarnationThatIsHeardHasAnAddress(t *testing.T) {
+// Guards against a program's row whose incarnations can't be mapped to addresses.
+func TestIncarnationOfAPeerHasAnAddress(t *testing.T) {
 	a, b := newHost(t, "a", bvclock.Boot()), newHost(t, "b", bvclock.Boot())
-	meet(t, a, b)
-	address, heard := a.AddressOfIncarnation("b")
-	require.True(t, heard)
+	exchangeDigests(t, a, b)
+	address, found := a.AddressOfIncarnation("b")
+	require.True(t, found)
 	require.Equal(t, b.address, address)
 }
 
-// Guards against events between two digests that other zones never hear of.
-func TestOtherZonesAreToldLessOftenAndNothingIsLost(t *testing.T) {
+// Guards against events between two digests that are never sent to other zones.
+func TestOtherZonesGetDigestsLessOftenWithoutLoss(t *testing.T) {
 	clock := &bvclock.Manual{}
 	clock.Advance(bvclock.Minute)
 	a, b := newHost(t, "a", clock), newHost(t, "b", clock)
 	b.zone = "other"
-	meet(t, a, b)
+	exchangeDigests(t, a, b)
 	for part := range uint64(4) {
-		clock.Advance(farInterval / 4)
+		clock.Advance(minCrossZoneInterval / 4)
 		digest := a.digest()
 		digest.Placements = []*Placement{{Endpoint: 1, Part: part, Tokens: 10}}
 		a.SendDigest(digest)
 	}
 	require.Eventually(t, func() bool { return len(b.digests()) == 2 }, testTimeout, time.Millisecond)
 	require.Len(t, b.digests()[1].GetPlacements(), 4)
-	require.Empty(t, a.placements)
-	clock.Advance(farInterval - 1)
+	require.Empty(t, a.pendingPlacements)
+	clock.Advance(minCrossZoneInterval - 1)
 	a.SendDigest(a.digest())
-	near, far := a.due()
-	require.Empty(t, near)
-	require.Nil(t, far, "too early")
+	sameZone, otherZones := a.dueHosts()
+	require.Empty(t, sameZone)
+	require.Nil(t, otherZones, "too early")
 	clock.Advance(1)
 	a.SendDigest(a.digest())
 	require.Eventually(t, func() bool { return len(b.digests()) == 3 }, testTimeout, time.Millisecond)
 }
 
-// Guards against bytes that grow with the number of hosts and are of little use.
-func TestManyHostsTellOtherZonesOfTheirEndpointsOnly(t *testing.T) {
+// Guards against digests that grow with the number of hosts and are of little use.
+func TestManyHostsSendOtherZonesOnlyTheirEndpoints(t *testing.T) {
 	clock := &bvclock.Manual{}
 	clock.Advance(bvclock.Minute)
 	a, b := newHostWith(t, "a", clock, fakeEndpoints{1: "z", 2: "other"}), newHost(t, "b", clock)
 	b.zone = "other"
-	meet(t, a, b)
+	exchangeDigests(t, a, b)
 	a.mutex.Lock()
-	for i := range fullHosts {
-		a.peer(netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 9, 9, byte(i)}), 9)).triedAt = clock.Now()
+	for i := range maxFullDigestHosts {
+		a.getOrAddPeer(netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 9, 9, byte(i)}), 9)).sentAt = clock.Now()
 	}
 	a.mutex.Unlock()
-	clock.Advance(a.farPause())
+	clock.Advance(a.crossZoneInterval())
 	digest := a.digest()
 	for endpoint := range uint64(3) {
 		digest.Loads = append(digest.Loads, &Load{Endpoint: endpoint, Running: 1})
@@ -245,54 +246,54 @@
 	require.Equal(t, "a", last.GetIncarnation())
 }
 
-// Guards against a host that counts as dead between two of its digests.
+// Guards against a host that counts as silent between two of its digests.
 func TestHostsOfOtherZonesAreGivenLongerWhereThereAreMany(t *testing.T) {
 	clock := &bvclock.Manual{}
 	clock.Advance(bvclock.Minute)
 	a, b := newHost(t, "a", clock), newHost(t, "b", clock)
 	b.zone = "other"
-	meet(t, a, b)
+	exchangeDigests(t, a, b)
 	a.mutex.Lock()
 	for i := range 600 {
-		a.peer(netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 9, byte(i / 250), byte(i % 250)}), 9))
+		a.getOrAddPeer(netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 9, byte(i / 250), byte(i % 250)}), 9))
 	}
 	a.mutex.Unlock()
-	clock.Advance(a.farPause() + bvclock.Second)
-	require.Greater(t, a.farPause()+bvclock.Second, silentAfter)
+	clock.Advance(a.crossZoneInterval() + bvclock.Second)
+	require.Greater(t, a.crossZoneInterval()+bvclock.Second, silenceTimeout)
 	require.Len(t, a.LivePeers(), 1)
 }
 
-// Guards against replaced hosts that are counted for ever.
-func TestReplacedHostsAreForgotten(t *testing.T) {
+// Guards against replaced hosts that are never removed.
+func TestReplacedHostsAreRemoved(t *testing.T) {
 	clock := &bvclock.Manual{}
 	clock.Advance(bvclock.Minute)
 	a, b := newHost(t, "a", clock), newHost(t, "b", clock)
-	meet(t, a, b)
+	exchangeDigests(t, a, b)
 	a.SetHosts(nil)
-	require.Len(t, a.LivePeers(), 1, "b is heard, though not listed")
+	require.Len(t, a.LivePeers(), 1, "b is not silent, though not listed")
 	require.Less(t, a.SilentFor(b.address, 0), bvclock.Second)
 	clock.Advance(bvclock.Minute)
 	require.Equal(t, bvclock.Minute, a.SilentFor(b.address, 0))
 	a.SetHosts([]netip.AddrPort{b.address})
-	require.Equal(t, 1, a.size())
+	require.Equal(t, 1, a.hostCount())
 	a.SetHosts(nil)
-	require.Zero(t, a.size())
+	require.Zero(t, a.hostCount())
 }
 
-// Many hosts must not drown each other in digests.
+// Guards against digests that overload the hosts of a large fleet.
 func TestIntervalGrowsWithTheNumberOfHosts(t *testing.T) {
 	a := newHost(t, "a", bvclock.Boot())
-	require.Equal(t, leastInterval, a.Interval())
+	require.Equal(t, minInterval, a.Interval())
 	addresses := make([]netip.AddrPort, 730)
 	for i := range addresses {
 		addresses[i] = netip.MustParseAddrPort(fmt.Sprintf("10.0.%d.%d:7000", i/200, i%200+1))
 	}
 	a.SetHosts(addresses)
-	require.Equal(t, 730*perHost, a.Interval())
+	require.Equal(t, 730*intervalPerHost, a.Interval())
 }
 
-// BenchmarkDigest is the cost of one digest with eight calls and as many
-// placements, sent to one host and taken in there.
+// BenchmarkDigest measures one digest with eight calls and eight placements: encoding it,
+// and decoding it at one host.
 func BenchmarkDigest(b *testing.B) {
 	digest := &Digest{Host: "edge-piran-hall-1", Incarnation: "0123456789abcdef", Zone: "piran-hall", Address: "10.1.0.38:7380"}
 	for i := range uint64(8) {
@@ -312,30 +313,30 @@
 	b.ReportMetric(float64(len(encoded)), "bytes/digest")
 }
 
-// Guards against a restarted grantor whose answer counts as a no.
-func TestHostThatWithholdsHasNotAnswered(t *testing.T) {
+// Guards against a restarted grantor whose reply counts as a refusal.
+func TestUndecidedReplyCountsAsUnanswered(t *testing.T) {
 	a, b := newHost(t, "a", bvclock.Boot()), newHost(t, "b", bvclock.Boot())
-	meet(t, a, b)
+	exchangeDigests(t, a, b)
 	b.mutex.Lock()
-	b.withholds = true
+	b.undecided = true
 	b.mutex.Unlock()
 	require.Eventually(t, func() bool {
-		asked, answered := a.RequestTokens(t.Context(), b.address, &Ask{Program: "p", Tokens: 10})
-		return asked && !answered
+		sent, answered := a.RequestTokens(t.Context(), b.address, &Ask{Program: "p", Tokens: 10})
+		return sent && !answered
 	}, testTimeout, time.Millisecond)
 }
 
-// Guards against hosts that count as silent where digests are rare.
+// Guards against hosts that count as silent where intervals between digests are long.
 func TestHostsAreNotSilentBetweenTwoDigests(t *testing.T) {
 	clock := &bvclock.Manual{}
 	gossip := newHost(t, "a", clock).Gossip
 	for i := range 730 {
 		gossip.hosts[netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i / 250), byte(i % 250)}), 7380)] = &peer{}
 	}
-	near, far := &peer{digest: &Digest{Zone: gossip.zone}}, &peer{digest: &Digest{Zone: "other"}}
+	sameZone, otherZone := &peer{digest: &Digest{Zone: gossip.zone}}, &peer{digest: &Digest{Zone: "other"}}
 	clock.Advance(2 * gossip.Interval())
-	require.False(t, gossip.isSilent(clock.Now(), near))
+	require.False(t, gossip.isSilent(clock.Now(), sameZone))
 	clock.Advance(2 * gossip.Interval())
-	require.True(t, gossip.isSilent(clock.Now(), near))
-	require.False(t, gossip.isSilent(clock.Now(), far))
+	require.True(t, gossip.isSilent(clock.Now(), sameZone))
+	require.False(t, gossip.isSilent(clock.Now(), otherZone))
 }
--- a/bvgossip/peer.go
+++ b/bvgossip/peer.go
@@ -7,17 +7,17 @@
 	"balsamvalve.example/bvclock"
 )
 
-// peer is another host's row.
+// peer is the state of another host.
 type peer struct {
 	candidate
-	digest   *Digest // last; nil before the first
+	digest   *Digest // last one received; nil before the first
 	lastSeen bvclock.Time
-	triedAt  bvclock.Time
+	sentAt   bvclock.Time // time of the last digest to this host
 }
 
-// SetHosts takes over the hosts that the platform's store lists. One that is
-// neither listed nor heard any more is forgotten: hosts are replaced all the time,
-// and each would get a digest every few seconds for ever.
+// SetHosts sets the hosts that the platform's store lists. Hosts that are neither listed
+// nor send digests are removed: hosts are replaced all the time, and each would be sent a
+// digest every few seconds indefinitely.
 func (gossip *Gossip) SetHosts(addresses []netip.AddrPort) {
 	now := gossip.clock.Now()
 	gossip.mutex.Lock()
@@ -25,15 +25,15 @@
 	listed := make(map[netip.AddrPort]bool, len(addresses))
 	for _, address := range addresses {
 		listed[address] = true
-		gossip.peer(address)
+		gossip.getOrAddPeer(address)
 	}
 	maps.DeleteFunc(gossip.hosts, func(address netip.AddrPort, peer *peer) bool {
 		return !listed[address] && gossip.isSilent(now, peer)
 	})
 }
 
-// SilentFor returns for how long nothing was heard of a host, at most since the
-// given time.
+// SilentFor returns the time since the last digest of a host, or since the given time if
+// that is later.
 func (gossip *Gossip) SilentFor(address netip.AddrPort, since bvclock.Time) bvclock.Duration {
 	gossip.mutex.Lock()
 	defer gossip.mutex.Unlock()
@@ -43,7 +43,7 @@
 	return gossip.clock.Now().Sub(since)
 }
 
-// IsUnreachable reports whether a host was heard and no longer is.
+// IsUnreachable reports whether a host has sent digests and is silent now.
 func (gossip *Gossip) IsUnreachable(address netip.AddrPort) bool {
 	now := gossip.clock.Now()
 	gossip.mutex.Lock()
@@ -52,7 +52,7 @@
 	return found != nil && found.digest != nil && gossip.isSilent(now, found)
 }
 
-func (gossip *Gossip) peer(address netip.AddrPort) *peer {
+func (gossip *Gossip) getOrAddPeer(address netip.AddrPort) *peer {
 	found := gossip.hosts[address]
 	if found == nil {
 		found = &peer{candidate: newCandidate(address)}
@@ -61,55 +61,55 @@
 	return found
 }
 
-// isSilent reports whether a host has missed its digests. The caller holds the
-// mutex.
+// isSilent reports whether no digest of a host has arrived for too long. The caller holds
+// the mutex.
 func (gossip *Gossip) isSilent(now bvclock.Time, peer *peer) bool {
 	if peer.digest == nil {
 		return true
 	}
-	pause := gossip.nearPause()
+	interval := gossip.interval()
 	if peer.digest.GetZone() != gossip.zone {
-		pause = gossip.farPause()
+		interval = gossip.crossZoneInterval()
 	}
-	return now.Sub(peer.lastSeen) > max(silentAfter, silentPauses*pause)
+	return now.Sub(peer.lastSeen) > max(silenceTimeout, silenceIntervals*interval)
 }
 
-// PeerStats returns how many other hosts are listed or heard, how many of them are heard,
-// and within which time their digests come.
-func (gossip *Gossip) PeerStats() (known, heard int, lag bvclock.Duration) {
+// PeerStats returns how many other hosts are known, how many of them are not silent, and
+// the longest interval between two of their digests.
+func (gossip *Gossip) PeerStats() (known, reachable int, lag bvclock.Duration) {
 	now := gossip.clock.Now()
 	gossip.mutex.Lock()
 	defer gossip.mutex.Unlock()
 	for _, peer := range gossip.hosts {
 		if !gossip.isSilent(now, peer) {
-			heard++
+			reachable++
 		}
 	}
-	return len(gossip.hosts), heard, gossip.farPause()
+	return len(gossip.hosts), reachable, gossip.crossZoneInterval()
 }
 
-// NearestReachable returns those of some hosts that are heard, the ones in this host's
-// availability zone first.
+// NearestReachable returns those of the given hosts that are not silent, the ones in this
+// host's availability zone first.
 func (gossip *Gossip) NearestReachable(hosts []string) []string {
 	now := gossip.clock.Now()
 	gossip.mutex.Lock()
 	defer gossip.mutex.Unlock()
-	var near, far []string
+	var sameZone, otherZones []string
 	for _, host := range hosts {
 		address, err := netip.ParseAddrPort(host)
 		if err != nil {
-			continue // a host that can't be asked
+			continue // not an address that can be queried
 		}
 		peer := gossip.hosts[address]
 		switch {
 		case peer == nil || gossip.isSilent(now, peer):
 		case peer.digest.GetZone() == gossip.zone:
-			near = append(near, host)
+			sameZone = append(sameZone, host)
 		default:
-			far = append(far, host)
+			otherZones = append(otherZones, host)
 		}
 	}
-	return append(near, far...)
+	return append(sameZone, otherZones...)
 }
 
 // LivePeers returns the last digests of all hosts that are not silent.
--- a/bvgossip/probe.go
+++ b/bvgossip/probe.go
@@ -7,33 +7,34 @@
 	"balsamvalve.example/bvclock"
 )
 
-// Digests tell of calls some tenths of a second late, which is as long as a call
-// takes: hosts then send to engines that others have just filled, calls wait there
-// while other engines stand free, and conversations leave the engines that have them.
-// So each endpoint has a tracker, a host of its availability zone that is told of each
-// call at once, and a host that decides asks the trackers of a few endpoints first. A
-// call costs a few datagrams for that, however many hosts there are. A tracker that is
-// lost, or a datagram, only leaves what the digests said.
+// Digests report calls some tenths of a second late, which is as long as a call takes:
+// hosts would send calls to engines that others have just filled, calls would queue there
+// while other engines are idle, and conversations would move off the engines that have
+// them cached. So each endpoint has a tracker, a host of its availability zone to which
+// each call is reported at once, and a host queries the trackers of a few endpoints
+// before it places a call. This costs a few datagrams a call, independent of the number
+// of hosts. If a tracker fails or a datagram is lost, decisions rest on the digests.
 
 const (
-	// probeTimeout bounds the wait for trackers; digests tell enough without them.
+	// probeTimeout bounds the wait for trackers. Without their counts, those of the
+	// digests are used.
 	probeTimeout = 5 * bvclock.Millisecond
-	// mutedFor is how long a tracker that did not answer is not asked again.
-	mutedFor = bvclock.Second
+	// trackerBackoff is how long a tracker that did not answer is not queried again.
+	trackerBackoff = bvclock.Second
 )
 
-// probing is a question to some trackers that is under way.
-type probing struct {
-	answers chan answer // has room for all
+// pendingProbe is a query to some trackers that is in flight.
+type pendingProbe struct {
+	replies chan trackerReply // has capacity for all
 }
 
-// answer is what one tracker said.
-type answer struct {
+// trackerReply is the reply of one tracker.
+type trackerReply struct {
 	from   netip.AddrPort
 	counts *Counts
 }
 
-// ReportRunning tells an endpoint's tracker how many calls this host has there now.
+// ReportRunning reports to an endpoint's tracker how many calls this host has there now.
 func (gossip *Gossip) ReportRunning(endpoint uint64, running int) {
 	zone := gossip.endpoints.ZoneOf(endpoint)
 	gossip.mutex.Lock()
@@ -44,46 +45,47 @@
 	}
 }
 
-// QueryRunning asks the trackers of endpoints how many calls the other hosts have there. It
-// waits a short time; endpoints whose trackers did not answer are missing.
+// QueryRunning asks the trackers of endpoints how many calls the other hosts have there.
+// It waits for at most probeTimeout; endpoints whose trackers did not answer are missing.
 func (gossip *Gossip) QueryRunning(endpoints []uint64) map[uint64]int {
 	counts := make(map[uint64]int, len(endpoints))
-	gossip.ask(gossip.probesFor(endpoints, counts), probeTimeout, func(answer *Counts) {
-		for _, load := range answer.GetLoads() {
+	gossip.queryTrackers(gossip.buildProbes(endpoints, counts), probeTimeout, func(reply *Counts) {
+		for _, load := range reply.GetLoads() {
 			counts[load.GetEndpoint()] = int(load.GetRunning())
 		}
 	})
 	return counts
 }
 
-// ask sends probes to trackers and takes in their answers, for a short time.
-func (gossip *Gossip) ask(probes map[netip.AddrPort]*Probe, limit bvclock.Duration, take func(answer *Counts)) {
+// queryTrackers sends probes to trackers and passes their replies to handleReply until all
+// have answered or the timeout expires. Trackers that did not answer are backed off.
+func (gossip *Gossip) queryTrackers(probes map[netip.AddrPort]*Probe, timeout bvclock.Duration, handleReply func(reply *Counts)) {
 	if len(probes) == 0 {
 		return
 	}
 	number := rand.Uint64()
-	begun := gossip.beginProbe(number, len(probes))
-	defer gossip.endProbe(number)
+	pending := gossip.registerProbe(number, len(probes))
+	defer gossip.removeProbe(number)
 	for tracker, probe := range probes {
 		probe.Number = number
 		gossip.sendTo(tracker, &Datagram{Message: &Datagram_Probe{Probe: probe}})
 	}
-	timeout := bvclock.After(limit)
+	expired := bvclock.After(timeout)
 	for len(probes) > 0 {
 		select {
-		case answer := <-begun.answers:
-			delete(probes, answer.from)
-			take(answer.counts)
-		case <-timeout:
-			gossip.mute(probes)
+		case reply := <-pending.replies:
+			delete(probes, reply.from)
+			handleReply(reply.counts)
+		case <-expired:
+			gossip.backOff(probes)
 			return
 		}
 	}
 }
 
-// probesFor returns which other hosts are to be asked for which endpoints. It counts
-// the calls at those that this host tracks itself.
-func (gossip *Gossip) probesFor(endpoints []uint64, counts map[uint64]int) map[netip.AddrPort]*Probe {
+// buildProbes returns the probes to send to other hosts, by address. For endpoints that
+// this host tracks itself, it adds the calls to counts.
+func (gossip *Gossip) buildProbes(endpoints []uint64, counts map[uint64]int) map[netip.AddrPort]*Probe {
 	zones := make([]string, len(endpoints))
 	for i, endpoint := range endpoints {
 		zones[i] = gossip.endpoints.ZoneOf(endpoint)
@@ -95,9 +97,9 @@
 	for i, endpoint := range endpoints {
 		tracker, found := gossip.trackers.ofEndpoint(zones[i], endpoint)
 		switch {
-		case !found || now.Before(gossip.mutedUntil[tracker]):
+		case !found || now.Before(gossip.backoffUntil[tracker]):
 		case tracker == gossip.own.address:
-			counts[endpoint] = gossip.tracker.count(endpoint, gossip.own.address, gossip.toldSince(now))
+			counts[endpoint] = gossip.tracker.count(endpoint, gossip.own.address, gossip.staleBefore(now))
 		case probes[tracker] == nil:
 			probes[tracker] = &Probe{Endpoints: []uint64{endpoint}}
 		default:
@@ -107,61 +109,61 @@
 	return probes
 }
 
-// toldSince is the time since which hosts of any zone must have told of calls for these
-// to count: some pauses between their digests. The caller holds the mutex.
-func (gossip *Gossip) toldSince(now bvclock.Time) bvclock.Time {
-	return now.Add(-max(silentAfter, silentPauses*gossip.farPause()))
+// staleBefore returns the time before which reports of calls no longer count: a few
+// intervals between the digests of any zone ago. The caller holds the mutex.
+func (gossip *Gossip) staleBefore(now bvclock.Time) bvclock.Time {
+	return now.Add(-max(silenceTimeout, silenceIntervals*gossip.crossZoneInterval()))
 }
 
-func (gossip *Gossip) beginProbe(number uint64, trackers int) *probing {
-	begun := &probing{answers: make(chan answer, trackers)}
+func (gossip *Gossip) registerProbe(number uint64, trackers int) *pendingProbe {
+	pending := &pendingProbe{replies: make(chan trackerReply, trackers)}
 	gossip.mutex.Lock()
 	defer gossip.mutex.Unlock()
-	gossip.probes[number] = begun
-	gossip.asked += int64(trackers)
-	return begun
+	gossip.probes[number] = pending
+	gossip.queried += int64(trackers)
+	return pending
 }
 
-func (gossip *Gossip) endProbe(number uint64) {
+func (gossip *Gossip) removeProbe(number uint64) {
 	gossip.mutex.Lock()
 	defer gossip.mutex.Unlock()
 	delete(gossip.probes, number)
 }
 
-// mute notes trackers that did not answer. Without it each call would wait for them
-// while they are frozen or cut off, until they count as silent.
-func (gossip *Gossip) mute(trackers map[netip.AddrPort]*Probe) {
-	until := gossip.clock.Now().Add(mutedFor)
+// backOff excludes trackers that did not answer from queries for a time. Otherwise each
+// call would wait for a frozen or unreachable tracker until it counts as silent.
+func (gossip *Gossip) backOff(trackers map[netip.AddrPort]*Probe) {
+	until := gossip.clock.Now().Add(trackerBackoff)
 	gossip.mutex.Lock()
 	defer gossip.mutex.Unlock()
 	gossip.unanswered += int64(len(trackers))
 	for tracker := range trackers {
-		gossip.mutedUntil[tracker] = until
+		gossip.backoffUntil[tracker] = until
 	}
 }
 
-// TrackerQueries returns how many trackers were asked since the start, and how many of them did
-// not answer in time.
-func (gossip *Gossip) TrackerQueries() (asked, unanswered int64) {
+// TrackerQueries returns how many queries were sent to trackers since the start, and how
+// many of them were not answered in time.
+func (gossip *Gossip) TrackerQueries() (queried, unanswered int64) {
 	gossip.mutex.Lock()
 	defer gossip.mutex.Unlock()
-	return gossip.asked, gossip.unanswered
+	return gossip.queried, gossip.unanswered
 }
 
-// answerProbe tells a host what is counted here.
-func (gossip *Gossip) answerProbe(from netip.AddrPort, asked *Probe, handler Handler) {
-	counts := &Counts{Number: asked.GetNumber()}
-	if claim := asked.GetClaim(); claim != nil {
+// handleProbe answers a probe of another host.
+func (gossip *Gossip) handleProbe(from netip.AddrPort, probe *Probe, handler Handler) {
+	counts := &Counts{Number: probe.GetNumber()}
+	if claim := probe.GetClaim(); claim != nil {
 		counts.Claimed = handler.DecideClaim(claim)
 	}
 	gossip.mutex.Lock()
-	since := gossip.toldSince(gossip.clock.Now())
-	for _, endpoint := range asked.GetEndpoints() {
+	since := gossip.staleBefore(gossip.clock.Now())
+	for _, endpoint := range probe.GetEndpoints() {
 		running := gossip.tracker.count(endpoint, from, since)
 		counts.Loads = append(counts.Loads, &Load{Endpoint: endpoint, Running: uint32(running)})
 	}
-	if asked.GetProgram() != 0 {
-		counts.Holding = gossip.holdings.find(asked.GetProgram(), asked.GetConversation())
+	if probe.GetProgram() != 0 {
+		counts.Holding = gossip.holdings.find(probe.GetProgram(), probe.GetConversation())
 	}
 	gossip.mutex.Unlock()
 	for _, load := range counts.GetLoads() {
@@ -170,30 +172,31 @@
 	gossip.sendTo(from, &Datagram{Message: &Datagram_Counts{Counts: counts}})
 }
 
-// noteUse takes in how many calls a host has at an endpoint now.
-func (gossip *Gossip) noteUse(from netip.AddrPort, use *Load) {
+// handleUse records how many calls a host has at an endpoint now.
+func (gossip *Gossip) handleUse(from netip.AddrPort, use *Load) {
 	gossip.mutex.Lock()
 	defer gossip.mutex.Unlock()
-	gossip.tracker.note(gossip.clock.Now(), from, use.GetEndpoint(), int(use.GetRunning()))
+	gossip.tracker.set(gossip.clock.Now(), from, use.GetEndpoint(), int(use.GetRunning()))
 }
 
-// takeCounts hands an answer to whoever waits for it.
-func (gossip *Gossip) takeCounts(from netip.AddrPort, counts *Counts) {
+// handleCounts passes a reply to the query that waits for it.
+func (gossip *Gossip) handleCounts(from netip.AddrPort, counts *Counts) {
 	gossip.mutex.Lock()
 	defer gossip.mutex.Unlock()
-	delete(gossip.mutedUntil, from)
-	begun := gossip.probes[counts.GetNumber()]
-	if begun == nil {
-		return // it gave up
+	delete(gossip.backoffUntil, from)
+	pending := gossip.probes[counts.GetNumber()]
+	if pending == nil {
+		return // the query has timed out
 	}
 	select {
-	case begun.answers <- answer{from, counts}:
-	default: // an answer that came twice
+	case pending.replies <- trackerReply{from, counts}:
+	default: // a duplicate
 	}
 }
 
-// setTrackers takes over which hosts are heard.
-func (gossip *Gossip) setTrackers() {
+// updateTrackers sets the trackers to the hosts that are neither silent nor leaving, and
+// removes backoffs that have expired.
+func (gossip *Gossip) updateTrackers() {
 	now := gossip.clock.Now()
 	gossip.mutex.Lock()
 	defer gossip.mutex.Unlock()
@@ -204,9 +207,9 @@
 			gossip.trackers.add(peer.digest.GetZone(), peer.candidate, peer.digest.GetSettled())
 		}
 	}
-	for address, until := range gossip.mutedUntil {
+	for address, until := range gossip.backoffUntil {
 		if !now.Before(until) {
-			delete(gossip.mutedUntil, address)
+			delete(gossip.backoffUntil, address)
 		}
 	}
 }
--- a/bvgossip/tracker.go
+++ b/bvgossip/tracker.go
@@ -11,23 +11,22 @@
 	"balsamvalve.example/bvhost"
 )
 
-// tracker counts the calls of all hosts at endpoints. A host says how many it has at
-// an endpoint whenever that changes, and its digests say it again, so that a datagram
-// that is lost or late makes a count wrong until the next digest only. The zero value
-// is empty.
+// tracker counts the calls of all hosts at endpoints. A host reports how many it has at
+// an endpoint whenever that changes, and its digests repeat it, so that a lost or late
+// datagram makes a count wrong only until the next digest. The zero value is empty.
 type tracker struct {
 	uses   map[uint64]map[netip.AddrPort]use  // by the hash of the endpoint's ID
 	byHost map[netip.AddrPort]map[uint64]bool // the endpoints in uses
 }
 
-// use is what a host last said of its calls at an endpoint.
+// use is a host's last report of its calls at an endpoint.
 type use struct {
-	running int
-	saidAt  bvclock.Time
+	running    int
+	reportedAt bvclock.Time
 }
 
-// note takes in how many calls a host has at an endpoint.
-func (tracker *tracker) note(now bvclock.Time, host netip.AddrPort, endpoint uint64, running int) {
+// set records how many calls a host has at an endpoint.
+func (tracker *tracker) set(now bvclock.Time, host netip.AddrPort, endpoint uint64, running int) {
 	if running == 0 {
 		tracker.drop(host, endpoint)
 		return
@@ -57,21 +56,21 @@
 	}
 }
 
-// noteAll takes in all calls of a host. What it said before and does not repeat has
-// ended.
-func (tracker *tracker) noteAll(now bvclock.Time, host netip.AddrPort, loads []*Load) {
-	before := len(tracker.byHost[host])
+// setAll records all calls of a host and removes those at endpoints that it no longer
+// reports.
+func (tracker *tracker) setAll(now bvclock.Time, host netip.AddrPort, loads []*Load) {
+	unreported := len(tracker.byHost[host])
 	for _, load := range loads {
 		if tracker.byHost[host][load.GetEndpoint()] {
-			before--
+			unreported--
 		}
-		tracker.note(now, host, load.GetEndpoint(), int(load.GetRunning()))
+		tracker.set(now, host, load.GetEndpoint(), int(load.GetRunning()))
 	}
-	if before == 0 {
-		return // all that it said before is repeated
+	if unreported == 0 {
+		return // all endpoints of earlier reports are in loads
 	}
 	for endpoint := range tracker.byHost[host] {
-		if tracker.uses[endpoint][host].saidAt != now || !hasEndpoint(loads, endpoint) {
+		if tracker.uses[endpoint][host].reportedAt != now || !hasEndpoint(loads, endpoint) {
 			tracker.drop(host, endpoint)
 		}
 	}
@@ -81,12 +80,12 @@
 	return slices.ContainsFunc(loads, func(load *Load) bool { return load.GetEndpoint() == endpoint })
 }
 
-// count adds up the calls at an endpoint of all hosts but one. A host that has said
-// nothing since the given time is taken for dead, and its calls with it.
-func (tracker *tracker) count(endpoint uint64, but netip.AddrPort, since bvclock.Time) int {
+// count adds up the calls at an endpoint of all hosts but one. Reports from before the
+// given time don't count, as their host may have failed.
+func (tracker *tracker) count(endpoint uint64, except netip.AddrPort, since bvclock.Time) int {
 	count := 0
 	for host, use := range tracker.uses[endpoint] {
-		if host != but && !use.saidAt.Before(since) {
+		if host != except && !use.reportedAt.Before(since) {
 			count += use.running
 		}
 	}
@@ -103,16 +102,16 @@
 	return candidate{address, xxhash.Sum64String(address.String())}
 }
 
-// trackers are the hosts that may track endpoints and programs. Each endpoint and
-// program has an order of its own of them; the first tracks it. Hosts that know the
-// same hosts agree on it without a word. The zero value has none.
+// trackers are the hosts that may track endpoints and programs. Each endpoint and program
+// ranks them by rendezvous hashing; the first one tracks it. Hosts with the same list of
+// hosts agree on it without communication. The zero value has none.
 type trackers struct {
 	all     []candidate
-	settled []candidate // that may allocate usage caps
+	settled []candidate // those that may allocate usage caps
 	byZone  map[string][]candidate
 }
 
-// add notes a host of a zone.
+// add adds a host of a zone.
 func (trackers *trackers) add(zone string, host candidate, settled bool) {
 	if settled {
 		trackers.settled = append(trackers.settled, host)
@@ -124,44 +123,44 @@
 	trackers.all = append(trackers.all, host)
 }
 
-// ofEndpoint returns the tracker of an endpoint of a zone, or false where no host of
-// that zone is known.
+// ofEndpoint returns the tracker of an endpoint of a zone, or false if no host of that
+// zone is known.
 func (trackers *trackers) ofEndpoint(zone string, endpoint uint64) (netip.AddrPort, bool) {
-	return first(trackers.byZone[zone], endpoint)
+	return highestWeight(trackers.byZone[zone], endpoint)
 }
 
-// ofProgram returns the tracker of a program, or false where no host is known.
+// ofProgram returns the tracker of a program, or false if no host is known.
 func (trackers *trackers) ofProgram(program uint64) (netip.AddrPort, bool) {
-	return first(trackers.all, program)
+	return highestWeight(trackers.all, program)
 }
 
-// ofWorkspace returns the first hosts in a workspace's order of those that may allocate
-// its usage cap: all, where none is settled.
-func (trackers *trackers) ofWorkspace(workspace uint32, most int) []netip.AddrPort {
+// ofWorkspace returns up to limit hosts that may allocate a workspace's usage cap, in the
+// workspace's order: settled hosts, or all hosts if none is settled.
+func (trackers *trackers) ofWorkspace(workspace uint32, limit int) []netip.AddrPort {
 	hosts := trackers.settled
 	if len(hosts) == 0 {
 		hosts = trackers.all
 	}
 	var addresses []netip.AddrPort
-	for below := uint64(math.MaxUint64); len(addresses) < most; {
-		address, weight, found := firstBelow(hosts, uint64(workspace), below)
+	for bound := uint64(math.MaxUint64); len(addresses) < limit; {
+		address, weight, found := highestWeightBelow(hosts, uint64(workspace), bound)
 		if !found {
 			break
 		}
-		addresses, below = append(addresses, address), weight
+		addresses, bound = append(addresses, address), weight
 	}
 	return addresses
 }
 
-// first returns the first of some hosts in a key's order of them.
-func first(hosts []candidate, key uint64) (address netip.AddrPort, found bool) {
-	address, _, found = firstBelow(hosts, key, math.MaxUint64)
+// highestWeight returns the host with the highest weight for a key.
+func highestWeight(hosts []candidate, key uint64) (address netip.AddrPort, found bool) {
+	address, _, found = highestWeightBelow(hosts, key, math.MaxUint64)
 	return address, found
 }
 
-// firstBelow returns the first of some hosts in a key's order of them whose weight is
-// below a bound, and its weight.
-func firstBelow(hosts []candidate, key, bound uint64) (address netip.AddrPort, highest uint64, found bool) {
+// highestWeightBelow returns the host with the highest weight for a key below a bound,
+// and that weight.
+func highestWeightBelow(hosts []candidate, key, bound uint64) (address netip.AddrPort, highest uint64, found bool) {
 	for _, host := range hosts {
 		weight := bvhost.Weight(host.hash, key)
 		if weight < bound && (!found || weight > highest) {
