--- a/bvbudget/account.go
+++ b/bvbudget/account.go
@@ -4,67 +4,66 @@
 	"balsamvalve.example/bvclock"
 )
 
-// account is a program's budget as this host sees it. What is free here moves
-// to open with a turn, to other hosts by lending, and to nowhere by spending;
-// it only ever grows by what the record holds for this host or what another
-// host has given up. So the tokens handed out by all hosts never pass the sum
-// of the record.
+// account is this host's part of a program's budget. A turn moves tokens from free to
+// reserved, lending moves them to other hosts, and spending consumes them. Free only ever
+// grows by tokens that the record grants to this host or that another host has deducted.
+// So the tokens delivered by all hosts never exceed the sum of the record.
 type account struct {
 	program string
-	turn    chan struct{} // held by who reads or writes the record
+	lock    chan struct{} // semaphore; held to read or write the record
 
-	// Below, guarded by the allocator's mutex.
-	record   Record
-	version  int64 // of the record; 0: absent
-	known    bool  // the record was read or written
-	credited int   // of the record's entry for this host, what went into free
-	doubt    bool  // a write's answer was lost, and it may still take effect
-	free     int   // tokens that may be reserved here without asking
-	open     int   // tokens of turns under way here, not handed out yet
-	wanted   int   // most of the turns that wait
-	most     int   // of the last turn
-	budget   int
-	usedAt   bvclock.Time
-	retain   bvclock.Duration
+	// The fields below are guarded by the allocator's mutex.
+	record         Record
+	version        int64 // of the record; 0: absent
+	known          bool  // the record was read or written
+	credited       int   // tokens of the record's entry for this host that were added to free
+	writeUncertain bool  // the answer to a write was lost, and it may still take effect
+	free           int   // tokens that may be reserved here without a request
+	reserved       int   // tokens of turns in flight here, not yet delivered
+	waiting        int   // sum of the maxima of the turns that wait
+	maxTokens      int   // of the last turn
+	budget         int   // tokens of the part in the record
+	lastUsed       bvclock.Time
+	retain         bvclock.Duration
 }
 
-// idle reports whether nothing is under way.
-func (account *account) idle() bool {
-	return account.open == 0 && account.wanted == 0
+// isIdle reports whether no turn waits or has reserved tokens left.
+func (account *account) isIdle() bool {
+	return account.reserved == 0 && account.waiting == 0
 }
 
-// learn takes in the record as the store has it. An entry for this host above
-// what was credited is a write whose answer was lost and that took effect. But
-// while the row has the version that a write in doubt expects, that write may
-// still come, and it may be one that lowers the entry: nothing is credited.
-func (account *account) learn(host string, record Record, version int64) {
-	if account.doubt && version == account.version {
+// applyRecord updates the account with the record in the store. If the entry for this host
+// is above credited, a write whose answer was lost took effect, and the difference is
+// credited. While the row still has the version that an uncertain write expects, nothing
+// is credited: that write may still take effect, and may lower the entry.
+func (account *account) applyRecord(incarnation string, record Record, version int64) {
+	if account.writeUncertain && version == account.version {
 		account.record, account.known = record, true
 		return
 	}
-	account.doubt = false
+	account.writeUncertain = false
 	account.record, account.version, account.known = record, version, true
-	if extra := record.Granted[host] - account.credited; extra > 0 {
+	if extra := record.Granted[incarnation] - account.credited; extra > 0 {
 		account.credited += extra
 		account.free += extra
 	}
 }
 
-// scarceTurns is how many turns must fit beside what is reserved, so that a
-// host may leave what it has reserved and not spent.
-const scarceTurns = 3
+// minUnreservedTurns is how many turns must fit into the unreserved rest of a budget so
+// that a host may keep unspent tokens.
+const minUnreservedTurns = 3
 
-// returnable is how many unspent tokens lie here that another host may need.
-func (account *account) returnable() int {
-	if left := account.budget - account.record.total(); left >= scarceTurns*account.most {
+// returnableTokens returns how many unspent tokens here another host may need.
+func (account *account) returnableTokens() int {
+	if available := account.budget - account.record.totalGranted(); available >= minUnreservedTurns*account.maxTokens {
 		return 0
 	}
-	return account.unspent()
+	return account.unspentTokens()
 }
 
-// unspent is how many tokens lie here that can be taken off the record.
-func (account *account) unspent() int {
-	if !account.known || account.doubt || !account.idle() {
+// unspentTokens returns how many tokens here can be deducted from the record.
+func (account *account) unspentTokens() int {
+	if !account.known || account.writeUncertain || !account.isIdle() {
 		return 0
 	}
 	return min(account.free, account.credited)
--- a/bvbudget/allocator.go
+++ b/bvbudget/allocator.go
@@ -1,39 +1,38 @@
-// Package bvbudget keeps programs within their budgets of generated tokens, on
-// all hosts together and whatever fails.
+// Package bvbudget limits programs to their budgets of generated tokens, across all hosts
+// and under any failure.
 //
-// Before a turn is sent, the most that it may generate is reserved. A program's
-// tokens come in two halves, each of half its budget and half of a turn at its
-// most, so that together they pass the budget by one turn at most:
+// Before a turn is sent, the maximum that it may generate is reserved. A program's tokens
+// are split into two halves, each of half the budget plus half of a turn's maximum, so
+// that together they exceed the budget by at most one turn:
 //
-//   - One host, the program's grantor, grants the first half from its memory
-//     (see bvlease). It needs no store, so programs also begin while the store is
-//     away. If the grantor dies, what is left of this half is lost.
-//   - The second half stands in the program's row of the platform's store, where
-//     hosts reserve blocks of it. It is for programs that spend more, and for
-//     those whose grantor is lost.
+//   - One host, the program's grantor, grants the in-memory half from its memory (see
+//     bvlease). It needs no store, so programs can start while the store is unavailable.
+//     If the grantor fails, the rest of this half is lost.
+//   - The stored half is in the program's row of the platform's store, where hosts reserve
+//     blocks of it. It is for programs that spend more, and for those whose grantor has
+//     failed.
 //
-// A host spends what it has got without asking, and gives parts of it to other
-// hosts that have turns of the program: what is given is first taken off here,
-// so an answer that is lost loses tokens and never doubles them. So the tokens
-// that callers get stay within these bounds, also when hosts die, wake from a
-// freeze, or lose power together.
+// A host spends the tokens it holds without a request to others, and lends some to other
+// hosts that have turns of the program. It deducts the tokens before it sends them, so a
+// lost reply loses tokens and never duplicates them. The tokens that callers get stay
+// within these bounds even if hosts fail, resume after a freeze, or lose power together.
 //
-// Without grantors, the row holds the whole budget, and it is never passed.
+// Without grantors, the row holds the whole budget, which is never exceeded.
 //
-// Few programs need more than one half: mostly those that loop without end.
+// Few programs need more than one half: mostly those that loop endlessly.
 //
 // # Usage
 //
 //	allocator := bvbudget.NewAllocator(store, lenders, incarnation, clock, log)
-//	allocator.SetGrantors(grantors) // without it, the store records whole budgets
+//	allocator.SetGrantors(grantors) // without grantors, rows hold whole budgets
 //	reservation, err := allocator.Reserve(ctx, bvbudget.Turn{Program: id, Budget: 4576, MaxTokens: 572})
 //	defer reservation.Close()
-//	reservation.Spend(22) // for each event, before it is handed on
+//	reservation.Spend(22) // for each event, before it is delivered
 //
 // # Cost
 //
-// A program costs a datagram and its answer for each host that gets one of its
-// turns, and a write of the store where its grantor is not to be had.
+// A program costs a datagram and its reply for each host that receives one of its turns,
+// and a write to the store if its grantor is unavailable.
 package bvbudget
 
 import (
@@ -49,171 +48,173 @@
 )
 
 const (
-	// shards is the number of parts that programs are spread over. A part
-	// takes 200 writes a second, one after another; at the users' sizes, a
-	// few hundred to 1,500 a second come together.
+	// shards is the number of key ranges that programs are spread over. A range takes 200
+	// writes a second, one after another; the users' fleets write a few hundred to
+	// 1,500 a second.
 	shards = 256
-	// maxTries bounds how often a reservation is tried again after another
-	// host's write came first.
-	maxTries = 8
-	// defaultSettle is the time after which what a turn has spent must be
-	// settled, where nobody says.
-	defaultSettle = bvclock.Second
-	// returnShare is the part of it for which a program pauses before its
-	// unspent tokens are given back.
-	returnShare = 0.5
-	// forgetAfter is added to the time for which budgets are kept.
-	forgetAfter = 30 * bvclock.Second
-	// retryAfter is when to try again while the store can't be reached. Outages
-	// last seconds, and callers come back only a few times.
+	// maxAttempts bounds the attempts of a reservation when writes of other hosts
+	// conflict with it.
+	maxAttempts = 8
+	// defaultSettleTime is the time within which a turn's spending must be settled unless
+	// SetSettleTime sets another.
+	defaultSettleTime = bvclock.Second
+	// returnFraction is the fraction of the settle time for which a program must be idle
+	// before its unspent tokens are returned.
+	returnFraction = 0.5
+	// expiryMargin is added to the time for which budgets are retained.
+	expiryMargin = 30 * bvclock.Second
+	// retryAfter is when callers are to retry while the store can't be reached. Outages
+	// last seconds, and callers retry only a few times.
 	retryAfter = bvclock.Second
 )
 
-// Lenders are the other hosts.
+// Lenders are the other hosts, which may lend tokens.
 type Lenders interface {
-	// RequestTokens waits a short time for a host to give up tokens; they come by
-	// Allocator.AcceptTokens, also when they are late. A host that is known to be silent
-	// is not asked; one that withholds tokens counts as not having answered.
-	RequestTokens(ctx context.Context, host string, want TokenRequest) (asked, answered bool)
-	// AddressOfIncarnation returns where to ask an incarnation of a host, if it is heard.
-	AddressOfIncarnation(incarnation string) (host string, heard bool)
+	// RequestTokens requests tokens from a host and waits for the reply for a short time.
+	// The tokens are passed to Allocator.AcceptTokens, also when they are late. No request
+	// is sent to a silent host. An undecided reply counts as unanswered.
+	RequestTokens(ctx context.Context, host string, request TokenRequest) (sent, answered bool)
+	// AddressOfIncarnation returns the address of an incarnation of a host, unless the host
+	// is silent.
+	AddressOfIncarnation(incarnation string) (host string, reachable bool)
 }
 
-// TokenRequest is what one host asks of another.
+// TokenRequest is a request of one host for tokens of another.
 type TokenRequest struct {
 	Program   string
-	Tokens    int              // that are missing for a turn
-	Partial   bool             // fewer are of use too
+	Tokens    int              // tokens that a turn lacks
+	Partial   bool             // fewer are useful too
 	Budget    int              // tokens of the whole program
-	MaxTokens int              // tokens that the turn may generate
-	Retain    bvclock.Duration // how long the budget is kept after the last turn
-	AsGrantor bool             // the asker takes this host for the program's grantor
+	MaxTokens int              // maximum that the turn may generate
+	Retain    bvclock.Duration // how long the budget is retained after the last turn
+	AsGrantor bool             // the sender considers this host the program's grantor
 }
 
-// TokenReply is the answer to a TokenRequest.
+// TokenReply is the reply to a TokenRequest.
 type TokenReply struct {
 	Tokens  int
 	Holders []string // addresses of other hosts that may hold some
-	// Undecided: there may be more, which this host can neither grant nor deny. It
-	// is the program's grantor and can't tell what was granted before it started,
-	// or it knows of none, or of another one than the asker does.
+	// Undecided: there may be more tokens, which this host can neither grant nor deny. It
+	// is the program's grantor but does not know what was granted before it started, or it
+	// knows no grantor, or another one than the sender.
 	Undecided bool
 }
 
-// Turn is what is reserved for.
+// Turn is a turn for which tokens are reserved.
 type Turn struct {
 	Program   string
 	Budget    int // tokens of the whole program
-	MaxTokens int // tokens that the turn may generate
+	MaxTokens int // maximum that the turn may generate
 	Continues bool
-	Retain    bvclock.Duration // how long the budget is kept after the last turn
+	Retain    bvclock.Duration // how long the budget is retained after the last turn
 }
 
-// Allocator holds the accounts of all programs that this host has turns of. Make
-// one with NewAllocator; it is safe for concurrent use.
+// Allocator holds the accounts of all programs of which this host has turns. Make one with
+// NewAllocator; it is safe for concurrent use.
 type Allocator struct {
-	store    bvplatform.Store
-	lenders  Lenders
-	grantors Grantors // nil: none
-	host     string
-	clock    bvclock.Clock
-	log      logrus.FieldLogger
-	settle   bvclock.Duration
-	started  bvclock.Time
-	keeps    bool // what it holds, for experiments
-
-	mutex    sync.Mutex
-	accounts map[string]*account
-	grants   map[string]*grant                // of programs that this host grants for
-	holders  *simplelru.LRU[uint64, []string] // addresses of hosts by hash of a program
-	begun    []uint64                         // programs to tell other hosts of
-	writes   int64
+	store           bvplatform.Store
+	lenders         Lenders
+	grantors        Grantors // nil: none
+	incarnation     string
+	clock           bvclock.Clock
+	log             logrus.FieldLogger
+	settleTime      bvclock.Duration
+	started         bvclock.Time
+	lendingDisabled bool // for experiments
+
+	mutex            sync.Mutex
+	accounts         map[string]*account
+	grants           map[string]*grant                // of programs that this host grants for
+	holders          *simplelru.LRU[uint64, []string] // addresses of hosts by hash of a program
+	reservedPrograms []uint64                         // hashes of programs to report to other hosts
+	writes           int64
 }
 
-// NewAllocator returns an Allocator. The incarnation must differ with each start of
-// the process: what an earlier one reserved counts as spent.
+// NewAllocator returns an Allocator. The incarnation must differ with each start of the
+// process: tokens that an earlier one reserved count as spent.
 func NewAllocator(store bvplatform.Store, lenders Lenders, incarnation string, clock bvclock.Clock, log logrus.FieldLogger) *Allocator {
 	allocator := &Allocator{
-		store: store, lenders: lenders, host: incarnation, clock: clock, log: log,
-		settle: defaultSettle, started: clock.Now(), accounts: make(map[string]*account),
+		store: store, lenders: lenders, incarnation: incarnation, clock: clock, log: log,
+		settleTime: defaultSettleTime, started: clock.Now(), accounts: make(map[string]*account),
 		grants: make(map[string]*grant),
 	}
-	allocator.holders, _ = simplelru.NewLRU[uint64, []string](maxHolders, nil)
+	allocator.holders, _ = simplelru.NewLRU[uint64, []string](maxHolderPrograms, nil)
 	return allocator
 }
 
-// SetSettleTime sets the time after which what a turn has spent must be settled. It
-// is called before the first turn.
-func (allocator *Allocator) SetSettleTime(settle bvclock.Duration) { allocator.settle = settle }
+// SetSettleTime sets the time within which a turn's spending must be settled. It is called
+// before the first turn.
+func (allocator *Allocator) SetSettleTime(settleTime bvclock.Duration) {
+	allocator.settleTime = settleTime
+}
 
-// SetLending tells whether this host gives up what it holds to other hosts; it does
-// unless an experiment says otherwise.
-func (allocator *Allocator) SetLending(lending bool) { allocator.keeps = !lending }
+// SetLending sets whether this host lends the tokens that it holds to other hosts, which
+// only experiments disable.
+func (allocator *Allocator) SetLending(lending bool) { allocator.lendingDisabled = !lending }
 
-// returnAfter is how long a program pauses before its unspent tokens are given
-// back.
-func (allocator *Allocator) returnAfter() bvclock.Duration {
-	return bvclock.Duration(float64(allocator.settle) * returnShare)
+// returnDelay returns how long a program must be idle before its unspent tokens are
+// returned.
+func (allocator *Allocator) returnDelay() bvclock.Duration {
+	return bvclock.Duration(float64(allocator.settleTime) * returnFraction)
 }
 
-// Reserve sets aside what a turn may spend. The error is a *bvverdict.Error:
-// BudgetExceeded where the budget does not hold the turn, or a refusal while
-// the store can't be asked.
+// Reserve reserves the maximum that a turn may spend. The error is a *bvverdict.Error:
+// BudgetExceeded if the budget does not cover the turn, or a refusal while the store can't
+// be reached.
 func (allocator *Allocator) Reserve(ctx context.Context, turn Turn) (*Reservation, error) {
-	account := allocator.open(turn)
-	defer allocator.stopWaiting(account, turn.MaxTokens)
-	if reservation := allocator.takeFree(account, turn); reservation != nil {
+	account := allocator.openAccount(turn)
+	defer allocator.removeWaiting(account, turn.MaxTokens)
+	if reservation := allocator.reserveFree(account, turn); reservation != nil {
 		return reservation, nil
 	}
 	select {
-	case account.turn <- struct{}{}:
-		defer func() { <-account.turn }()
+	case account.lock <- struct{}{}:
+		defer func() { <-account.lock }()
 	case <-ctx.Done():
 		return nil, bvverdict.Refuse(bvverdict.DeadlinePassed, "no time is left to reserve the budget").WithRetryAfter(retryAfter)
 	}
-	return allocator.reserve(ctx, account, turn)
+	return allocator.obtainTokens(ctx, account, turn)
 }
 
-// open returns the program's account and counts the turn as waiting.
-func (allocator *Allocator) open(turn Turn) *account {
+// openAccount returns the program's account and counts the turn as waiting.
+func (allocator *Allocator) openAccount(turn Turn) *account {
 	allocator.mutex.Lock()
 	defer allocator.mutex.Unlock()
 	found := allocator.accounts[turn.Program]
 	if found == nil {
-		// There is no row yet, as a rule: the grantor has tokens left. Where there is
-		// one, the first write says so and shows it, for as many calls as reading it.
-		// With a reading first, a day of 11,700 turns took 3,300 calls to the store
-		// more.
-		found = &account{program: turn.Program, turn: make(chan struct{}, 1), known: true}
+		// As a rule there is no row yet, because the grantor has tokens left. If there is
+		// one, the first write conflicts and returns it, for as many calls as a read.
+		// Reading first took 3,300 more calls to the store on a day of 11,700 turns.
+		found = &account{program: turn.Program, lock: make(chan struct{}, 1), known: true}
 		allocator.accounts[turn.Program] = found
 	}
-	found.wanted += turn.MaxTokens
-	found.most = turn.MaxTokens
-	found.budget = allocator.stored(turn)
+	found.waiting += turn.MaxTokens
+	found.maxTokens = turn.MaxTokens
+	found.budget = allocator.storedBudget(turn)
 	found.retain = max(found.retain, turn.Retain)
-	found.usedAt = allocator.clock.Now()
+	found.lastUsed = allocator.clock.Now()
 	return found
 }
 
-func (allocator *Allocator) stopWaiting(account *account, most int) {
+func (allocator *Allocator) removeWaiting(account *account, maxTokens int) {
 	allocator.mutex.Lock()
 	defer allocator.mutex.Unlock()
-	account.wanted -= most
+	account.waiting -= maxTokens
 }
 
-// takeFree reserves from what this host has already, or returns nil.
-func (allocator *Allocator) takeFree(account *account, turn Turn) *Reservation {
+// reserveFree reserves from the tokens that this host already holds, or returns nil.
+func (allocator *Allocator) reserveFree(account *account, turn Turn) *Reservation {
 	allocator.mutex.Lock()
 	defer allocator.mutex.Unlock()
 	if account.free < turn.MaxTokens {
 		return nil
 	}
 	account.free -= turn.MaxTokens
-	account.open += turn.MaxTokens
-	return &Reservation{allocator: allocator, account: account, left: turn.MaxTokens}
+	account.reserved += turn.MaxTokens
+	return &Reservation{allocator: allocator, account: account, remaining: turn.MaxTokens}
 }
 
-// WriteCount returns how many writes were tried so far.
+// WriteCount returns how many writes were attempted so far.
 func (allocator *Allocator) WriteCount() int64 {
 	allocator.mutex.Lock()
 	defer allocator.mutex.Unlock()
--- a/bvbudget/allocator_test.go
+++ b/bvbudget/allocator_test.go
@@ -16,20 +16,20 @@
 	"balsamvalve.example/bvverdict"
 )
 
-// faultyStore is a store whose answers are lost, and whose writes may come
-// late, as the next draws say.
+// faultyStore is a store that injects nextFault into the next call: it is down, loses the
+// answer, or delays or drops the write.
 type faultyStore struct {
 	bvplatform.Memory
-	mutex sync.Mutex
-	next  string
-	late  []bvplatform.Transaction
+	mutex     sync.Mutex
+	nextFault string
+	delayed   []bvplatform.Transaction
 }
 
 func (store *faultyStore) fault() string {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
-	fault := store.next
-	store.next = ""
+	fault := store.nextFault
+	store.nextFault = ""
 	return fault
 }
 
@@ -43,7 +43,7 @@
 	case "late":
 		store.mutex.Lock()
 		defer store.mutex.Unlock()
-		store.late = append(store.late, transaction)
+		store.delayed = append(store.delayed, transaction)
 		return 0, bvplatform.ErrUnknown
 	case "never":
 		return 0, bvplatform.ErrUnknown
@@ -63,208 +63,206 @@
 	return store.Memory.Read(ctx, keys...)
 }
 
-// lossyLenders pass questions to the allocators of other hosts; answers may be
-// lost or late.
+// lossyLenders pass requests to the allocators of other hosts; replies may be lost or late.
 type lossyLenders struct {
-	world *world
-	self  string
+	cluster *cluster
+	self    string
 }
 
-func (lenders lossyLenders) RequestTokens(_ context.Context, host string, want TokenRequest) (asked, answered bool) {
-	lender := lenders.world.allocators[host]
-	if lender == nil || host == lenders.self || lenders.world.deaf {
+func (lenders lossyLenders) RequestTokens(_ context.Context, host string, request TokenRequest) (sent, answered bool) {
+	lender := lenders.cluster.allocators[host]
+	if lender == nil || host == lenders.self || lenders.cluster.isolated {
 		return false, false
 	}
-	given := lender.LendTokens(lenders.self, want)
-	switch lenders.world.lending {
+	reply := lender.LendTokens(lenders.self, request)
+	switch lenders.cluster.lendingFault {
 	case "lost":
 		return true, false
 	case "late":
-		lenders.world.letters = append(lenders.world.letters, letter{lenders.self, want.Program, given.Tokens})
+		lenders.cluster.lateReplies = append(lenders.cluster.lateReplies, lateReply{lenders.self, request.Program, reply.Tokens})
 		return true, false
 	}
-	lenders.world.allocators[lenders.self].AcceptTokens(want.Program, given.Tokens, given.Holders)
-	return true, !given.Undecided
+	lenders.cluster.allocators[lenders.self].AcceptTokens(request.Program, reply.Tokens, reply.Holders)
+	return true, !reply.Undecided
 }
 
-// AddressOfIncarnation implements Lenders: an incarnation of the world's is its host's name
-// and a number.
+// AddressOfIncarnation implements Lenders.
 func (lenders lossyLenders) AddressOfIncarnation(incarnation string) (string, bool) {
-	for host, allocator := range lenders.world.allocators {
-		if allocator.host == incarnation && !lenders.world.deaf {
+	for host, allocator := range lenders.cluster.allocators {
+		if allocator.incarnation == incarnation && !lenders.cluster.isolated {
 			return host, true
 		}
 	}
 	return "", false
 }
 
-type letter struct {
+type lateReply struct {
 	host, program string
 	tokens        int
 }
 
-// world is some hosts over one store, and the oracle: the tokens that callers
-// were handed.
-type world struct {
-	store      *faultyStore
-	clock      *bvclock.Manual
-	allocators map[string]*Allocator
-	lending    string
-	deaf       bool // no host has heard of another
-	letters    []letter
-	open       []*Reservation
-	handed     map[string]int
-	starts     int
+// cluster is a few hosts with one store, and the oracle: the tokens that were delivered to
+// callers.
+type cluster struct {
+	store        *faultyStore
+	clock        *bvclock.Manual
+	allocators   map[string]*Allocator
+	lendingFault string
+	isolated     bool // no host knows another
+	lateReplies  []lateReply
+	reservations []*Reservation
+	delivered    map[string]int
+	starts       int
 }
 
 const (
-	testBudget = 1716
-	testMost   = 572
-	testEvent  = 22
+	testBudget      = 1716
+	testMaxTokens   = 572
+	testEventTokens = 22
 )
 
-func quiet() *logrus.Logger {
+func discardLogger() *logrus.Logger {
 	log := logrus.New()
 	log.SetLevel(logrus.PanicLevel)
 	return log
 }
 
-func newWorld() *world {
-	world := &world{store: &faultyStore{}, clock: &bvclock.Manual{}, allocators: make(map[string]*Allocator), handed: make(map[string]int)}
+func newCluster() *cluster {
+	cluster := &cluster{store: &faultyStore{}, clock: &bvclock.Manual{}, allocators: make(map[string]*Allocator), delivered: make(map[string]int)}
 	for _, host := range []string{"a", "b", "c"} {
-		world.restart(host)
+		cluster.restart(host)
 	}
-	return world
+	return cluster
 }
 
-// restart replaces a host's allocator: all that it knew is lost.
-func (world *world) restart(host string) {
-	world.starts++
-	incarnation := fmt.Sprintf("%s%d", host, world.starts)
-	world.allocators[host] = NewAllocator(world.store, lossyLenders{world, host}, incarnation, world.clock, quiet())
+// restart replaces a host's allocator, which loses all its state.
+func (cluster *cluster) restart(host string) {
+	cluster.starts++
+	incarnation := fmt.Sprintf("%s%d", host, cluster.starts)
+	cluster.allocators[host] = NewAllocator(cluster.store, lossyLenders{cluster, host}, incarnation, cluster.clock, discardLogger())
 }
 
-// spendAndEnd hands events of an open turn to its caller and ends it.
-func (world *world) spendAndEnd(at, events int) {
-	reservation := world.open[at]
+// spendAndClose delivers events of a turn to its caller and ends the turn.
+func (cluster *cluster) spendAndClose(at, events int) {
+	reservation := cluster.reservations[at]
 	for range events {
-		if reservation.Spend(testEvent) {
-			world.handed[reservation.account.program] += testEvent
+		if reservation.Spend(testEventTokens) {
+			cluster.delivered[reservation.account.program] += testEventTokens
 		}
 	}
 	reservation.Close()
-	world.open = append(world.open[:at], world.open[at+1:]...)
+	cluster.reservations = append(cluster.reservations[:at], cluster.reservations[at+1:]...)
 }
 
-// dropTurnsOf forgets the turns under way on a host, which is about to end.
-func (world *world) dropTurnsOf(host string) {
-	kept := world.open[:0]
-	for _, reservation := range world.open {
-		if reservation.allocator != world.allocators[host] {
-			kept = append(kept, reservation)
+// dropReservations drops the reservations of a host, which is about to restart.
+func (cluster *cluster) dropReservations(host string) {
+	remaining := cluster.reservations[:0]
+	for _, reservation := range cluster.reservations {
+		if reservation.allocator != cluster.allocators[host] {
+			remaining = append(remaining, reservation)
 		}
 	}
-	world.open = kept
+	cluster.reservations = remaining
 }
 
-// tellHolders passes on which hosts hold which programs, as digests do.
-func (world *world) tellHolders() {
-	for host, allocator := range world.allocators {
-		begun := allocator.TakeReservedPrograms()
-		for other, listener := range world.allocators {
+// exchangeHolders reports to all hosts which hosts hold tokens of which programs, as
+// digests do.
+func (cluster *cluster) exchangeHolders() {
+	for host, allocator := range cluster.allocators {
+		programs := allocator.TakeReservedPrograms()
+		for other, receiver := range cluster.allocators {
 			if other != host {
-				listener.AddHolder(host, begun)
+				receiver.AddHolder(host, programs)
 			}
 		}
 	}
 }
 
-// carryOutLate carries out the writes that were held back, if their conditions
-// still hold.
-func (world *world) carryOutLate() {
-	for _, transaction := range world.store.late {
-		_, _ = world.store.Memory.Commit(context.Background(), transaction)
+// commitDelayed commits the delayed writes whose checks still hold.
+func (cluster *cluster) commitDelayed() {
+	for _, transaction := range cluster.store.delayed {
+		_, _ = cluster.store.Memory.Commit(context.Background(), transaction)
 	}
-	world.store.late = nil
+	cluster.store.delayed = nil
 }
 
-// couldHand is what callers have of a program, and may get without another
-// write of the store.
-func (world *world) couldHand(program string) int {
-	tokens := world.handed[program]
-	for _, allocator := range world.allocators {
+// maxDeliverable returns the tokens of a program that were delivered to callers or can be
+// without another write to the store.
+func (cluster *cluster) maxDeliverable(program string) int {
+	tokens := cluster.delivered[program]
+	for _, allocator := range cluster.allocators {
 		if account := allocator.accounts[program]; account != nil {
-			tokens += account.free + account.open
+			tokens += account.free + account.reserved
 		}
 	}
 	return tokens
 }
 
-func (world *world) reserve(host, program string, continues bool) error {
-	reservation, err := world.allocators[host].Reserve(context.Background(), Turn{
-		Program: program, Budget: testBudget, MaxTokens: testMost, Continues: continues, Retain: bvclock.Minute,
+func (cluster *cluster) reserve(host, program string, continues bool) error {
+	reservation, err := cluster.allocators[host].Reserve(context.Background(), Turn{
+		Program: program, Budget: testBudget, MaxTokens: testMaxTokens, Continues: continues, Retain: bvclock.Minute,
 	})
 	if err == nil {
-		world.open = append(world.open, reservation)
+		cluster.reservations = append(cluster.reservations, reservation)
 	}
-	world.tellHolders()
+	cluster.exchangeHolders()
 	return err
 }
 
-// Guards against tokens that are counted twice, whatever is lost, late or refused.
-func TestBudgetIsNeverPassed(t *testing.T) {
+// Guards against tokens that are counted twice after lost, late or refused messages.
+func TestBudgetIsNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		world := newWorld()
+		cluster := newCluster()
 		hosts := rapid.SampledFrom([]string{"a", "a", "b", "b", "c"})
 		programs := rapid.SampledFrom([]string{"p", "p", "p", "q"})
 		rt.Repeat(map[string]func(*rapid.T){
 			"reserve": func(rt *rapid.T) {
-				world.store.next = rapid.SampledFrom([]string{"", "", "", "down", "lost", "late", "never"}).Draw(rt, "fault")
-				world.lending = rapid.SampledFrom([]string{"", "", "lost", "late"}).Draw(rt, "lending")
-				_ = world.reserve(hosts.Draw(rt, "host"), programs.Draw(rt, "program"), rapid.Bool().Draw(rt, "continues"))
+				cluster.store.nextFault = rapid.SampledFrom([]string{"", "", "", "down", "lost", "late", "never"}).Draw(rt, "fault")
+				cluster.lendingFault = rapid.SampledFrom([]string{"", "", "lost", "late"}).Draw(rt, "lending")
+				_ = cluster.reserve(hosts.Draw(rt, "host"), programs.Draw(rt, "program"), rapid.Bool().Draw(rt, "continues"))
 			},
 			"spend": func(rt *rapid.T) {
-				if len(world.open) == 0 {
+				if len(cluster.reservations) == 0 {
 					return
 				}
-				reservation := world.open[rapid.IntRange(0, len(world.open)-1).Draw(rt, "turn")]
+				reservation := cluster.reservations[rapid.IntRange(0, len(cluster.reservations)-1).Draw(rt, "turn")]
 				for range rapid.IntRange(1, 30).Draw(rt, "events") {
-					if reservation.Spend(testEvent) {
-						world.handed[reservation.account.program] += testEvent
+					if reservation.Spend(testEventTokens) {
+						cluster.delivered[reservation.account.program] += testEventTokens
 					}
 				}
 			},
 			"end": func(rt *rapid.T) {
-				if len(world.open) == 0 {
+				if len(cluster.reservations) == 0 {
 					return
 				}
-				at := rapid.IntRange(0, len(world.open)-1).Draw(rt, "turn")
-				world.open[at].Close()
-				world.open = append(world.open[:at], world.open[at+1:]...)
+				at := rapid.IntRange(0, len(cluster.reservations)-1).Draw(rt, "turn")
+				cluster.reservations[at].Close()
+				cluster.reservations = append(cluster.reservations[:at], cluster.reservations[at+1:]...)
 			},
 			"pause": func(rt *rapid.T) {
-				world.store.next = rapid.SampledFrom([]string{"", "down", "lost", "late", "never"}).Draw(rt, "fault")
-				world.clock.Advance(defaultSettle)
-				world.allocators[hosts.Draw(rt, "host")].ReleaseIdle(context.Background())
+				cluster.store.nextFault = rapid.SampledFrom([]string{"", "down", "lost", "late", "never"}).Draw(rt, "fault")
+				cluster.clock.Advance(defaultSettleTime)
+				cluster.allocators[hosts.Draw(rt, "host")].ReleaseIdle(context.Background())
 			},
 			"late write": func(rt *rapid.T) {
-				world.carryOutLate()
+				cluster.commitDelayed()
 			},
 			"late answer": func(rt *rapid.T) {
-				for _, letter := range world.letters {
-					world.allocators[letter.host].AcceptTokens(letter.program, letter.tokens, nil)
+				for _, reply := range cluster.lateReplies {
+					cluster.allocators[reply.host].AcceptTokens(reply.program, reply.tokens, nil)
 				}
-				world.letters = nil
+				cluster.lateReplies = nil
 			},
 			"die": func(rt *rapid.T) {
 				host := hosts.Draw(rt, "host")
-				world.dropTurnsOf(host)
-				world.restart(host)
+				cluster.dropReservations(host)
+				cluster.restart(host)
 			},
 			"": func(rt *rapid.T) {
 				for _, program := range []string{"p", "q"} {
-					if could := world.couldHand(program); could > testBudget {
-						rt.Fatalf("program %s can get %d tokens of a budget of %d", program, could, testBudget)
+					if tokens := cluster.maxDeliverable(program); tokens > testBudget {
+						rt.Fatalf("program %s can get %d tokens of a budget of %d", program, tokens, testBudget)
 					}
 				}
 			},
@@ -272,76 +270,76 @@
 	})
 }
 
-// The oracle above must notice an allocator that lends without giving up.
-func TestOracleCatchesALenderThatKeepsWhatItLends(t *testing.T) {
-	world := newWorld()
-	require.NoError(t, world.reserve("a", "p", false))
-	generous := world.allocators["a"].accounts["p"]
+// The oracle above must detect an allocator that lends tokens without deducting them.
+func TestOracleCatchesALenderThatDoesNotDeductLentTokens(t *testing.T) {
+	cluster := newCluster()
+	require.NoError(t, cluster.reserve("a", "p", false))
+	lenderAccount := cluster.allocators["a"].accounts["p"]
 	for range 5 {
-		generous.free = testMost
-		require.NoError(t, world.reserve("b", "p", true))
+		lenderAccount.free = testMaxTokens
+		require.NoError(t, cluster.reserve("b", "p", true))
 	}
-	for _, reservation := range world.open {
-		for reservation.Spend(testEvent) {
-			world.handed["p"] += testEvent
+	for _, reservation := range cluster.reservations {
+		for reservation.Spend(testEventTokens) {
+			cluster.delivered["p"] += testEventTokens
 		}
 	}
-	require.Greater(t, world.handed["p"], testBudget)
+	require.Greater(t, cluster.delivered["p"], testBudget)
 }
 
-// Guards against a spent budget that is forgotten with all hosts.
+// Guards against a spent budget that is lost when all hosts restart.
 func TestStoppedProgramIsRefusedAfterAllHostsRestarted(t *testing.T) {
-	world := newWorld()
-	for world.reserve("a", "p", false) == nil {
-		last := world.open[len(world.open)-1]
-		for last.Spend(testEvent) {
-			world.handed["p"] += testEvent
+	cluster := newCluster()
+	for cluster.reserve("a", "p", false) == nil {
+		last := cluster.reservations[len(cluster.reservations)-1]
+		for last.Spend(testEventTokens) {
+			cluster.delivered["p"] += testEventTokens
 		}
 		last.Close()
 	}
-	for host := range world.allocators {
-		world.restart(host)
+	for host := range cluster.allocators {
+		cluster.restart(host)
 	}
-	err := world.reserve("b", "p", false)
-	require.Equal(t, bvverdict.PlatformUnavailable, bvverdict.From(err).Code(), "another host may not have been heard yet")
+	err := cluster.reserve("b", "p", false)
+	require.Equal(t, bvverdict.PlatformUnavailable, bvverdict.From(err).Code(), "other hosts may not be discovered yet")
 	require.Equal(t, bvverdict.NotRun, bvverdict.Of(err))
-	world.clock.Advance(acquaintance)
-	err = world.reserve("b", "p", false)
+	cluster.clock.Advance(discoveryTime)
+	err = cluster.reserve("b", "p", false)
 	require.Equal(t, bvverdict.BudgetExceeded, bvverdict.From(err).Code())
 	require.Equal(t, bvverdict.NotRun, bvverdict.Of(err))
 }
 
-// Guards against a host that has heard nobody and says that a budget is spent.
-func TestHostThatHasJustStartedSaysOfNoBudgetThatItIsSpent(t *testing.T) {
-	world := newWorld()
+// Guards against a host that knows no other host and refuses a program as over budget.
+func TestHostThatHasJustStartedReportsNoBudgetAsSpent(t *testing.T) {
+	cluster := newCluster()
 	for _, host := range []string{"a", "b", "b"} {
-		require.NoError(t, world.reserve(host, "p", host == "b"))
+		require.NoError(t, cluster.reserve(host, "p", host == "b"))
 	}
-	world.restart("c")
-	world.deaf = true
-	err := world.reserve("c", "p", true)
+	cluster.restart("c")
+	cluster.isolated = true
+	err := cluster.reserve("c", "p", true)
 	require.Equal(t, bvverdict.PlatformUnavailable, bvverdict.From(err).Code())
-	world.deaf = false
-	for _, open := range world.open {
-		open.Close()
+	cluster.isolated = false
+	for _, reservation := range cluster.reservations {
+		reservation.Close()
 	}
-	require.NoError(t, world.reserve("c", "p", true))
+	require.NoError(t, cluster.reserve("c", "p", true))
 }
 
-// Guards against a turn that is refused though another host holds its tokens.
-func TestTurnGoesOnThroughAnotherHostWhileTheStoreIsAway(t *testing.T) {
-	world := newWorld()
-	require.NoError(t, world.reserve("a", "p", false))
-	world.open[0].Close()
-	world.store.next = "down"
-	require.NoError(t, world.reserve("b", "p", true))
+// Guards against a turn that is refused although another host holds tokens for it.
+func TestTurnContinuesAtAnotherHostWhileTheStoreIsUnavailable(t *testing.T) {
+	cluster := newCluster()
+	require.NoError(t, cluster.reserve("a", "p", false))
+	cluster.reservations[0].Close()
+	cluster.store.nextFault = "down"
+	require.NoError(t, cluster.reserve("b", "p", true))
 }
 
-// Guards against a budget that counts as spent while the store is away.
-func TestLostStoreIsNoSpentBudget(t *testing.T) {
-	world := newWorld()
-	world.store.next = "down"
-	err := bvverdict.From(world.reserve("a", "p", false))
+// Guards against a budget that counts as spent while the store is unavailable.
+func TestUnavailableStoreDoesNotMeanASpentBudget(t *testing.T) {
+	cluster := newCluster()
+	cluster.store.nextFault = "down"
+	err := bvverdict.From(cluster.reserve("a", "p", false))
 	require.Equal(t, bvverdict.PlatformUnavailable, err.Code())
 	require.Equal(t, bvverdict.NotRun, err.Verdict())
 	require.Positive(t, err.RetryAfter())
@@ -350,106 +348,106 @@
 // Guards against a program that ends with most of its budget unspent at other hosts.
 func TestProgramCanSpendItsBudgetThroughAnyHost(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		world := newWorld()
-		told := rapid.Bool().Draw(rt, "digests arrive")
+		cluster := newCluster()
+		exchanged := rapid.Bool().Draw(rt, "digests arrive")
 		spent := 0
 		for turn := range 30 {
 			host := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "host")
-			reservation, err := world.allocators[host].Reserve(context.Background(), Turn{
-				Program: "p", Budget: testBudget, MaxTokens: testMost, Continues: turn > 0, Retain: bvclock.Minute,
+			reservation, err := cluster.allocators[host].Reserve(context.Background(), Turn{
+				Program: "p", Budget: testBudget, MaxTokens: testMaxTokens, Continues: turn > 0, Retain: bvclock.Minute,
 			})
-			if told {
-				world.tellHolders()
+			if exchanged {
+				cluster.exchangeHolders()
 			}
 			if err != nil {
 				require.Equal(rt, bvverdict.BudgetExceeded, bvverdict.From(err).Code())
-				require.Greater(rt, spent+testMost, testBudget, "refused although the budget holds the turn")
+				require.Greater(rt, spent+testMaxTokens, testBudget, "refused although the budget covers the turn")
 				return
 			}
-			for range rapid.IntRange(0, testMost/testEvent).Draw(rt, "events") {
-				require.True(rt, reservation.Spend(testEvent))
-				spent += testEvent
+			for range rapid.IntRange(0, testMaxTokens/testEventTokens).Draw(rt, "events") {
+				require.True(rt, reservation.Spend(testEventTokens))
+				spent += testEventTokens
 			}
 			reservation.Close()
 		}
 	})
 }
 
-// Guards against a lost answer of another host that ends a program.
-func TestUnansweredQuestionIsNoSpentBudget(t *testing.T) {
-	world := newWorld()
-	require.NoError(t, world.reserve("a", "p", false))
-	require.NoError(t, world.reserve("b", "p", true))
-	require.NoError(t, world.reserve("b", "p", true)) // the row has nothing left
-	for _, open := range world.open {
-		open.Close()
+// Guards against a lost reply of another host that ends a program.
+func TestUnansweredRequestDoesNotMeanASpentBudget(t *testing.T) {
+	cluster := newCluster()
+	require.NoError(t, cluster.reserve("a", "p", false))
+	require.NoError(t, cluster.reserve("b", "p", true))
+	require.NoError(t, cluster.reserve("b", "p", true)) // the row has nothing left
+	for _, reservation := range cluster.reservations {
+		reservation.Close()
 	}
-	world.lending = "lost"
-	err := bvverdict.From(world.reserve("c", "p", true))
+	cluster.lendingFault = "lost"
+	err := bvverdict.From(cluster.reserve("c", "p", true))
 	require.Equal(t, bvverdict.PlatformUnavailable, err.Code())
 	require.Positive(t, err.RetryAfter())
 }
 
 // Guards against unspent tokens that the next host does not find.
-func TestUnspentTokensAreGivenBack(t *testing.T) {
-	world := newWorld()
-	require.NoError(t, world.reserve("a", "p", false))
-	require.True(t, world.open[0].Spend(testEvent))
-	world.open[0].Close()
-	world.clock.Advance(defaultSettle)
-	world.allocators["a"].ReleaseIdle(context.Background())
-	world.restart("a")
+func TestUnspentTokensAreReturned(t *testing.T) {
+	cluster := newCluster()
+	require.NoError(t, cluster.reserve("a", "p", false))
+	require.True(t, cluster.reservations[0].Spend(testEventTokens))
+	cluster.reservations[0].Close()
+	cluster.clock.Advance(defaultSettleTime)
+	cluster.allocators["a"].ReleaseIdle(context.Background())
+	cluster.restart("a")
 	for range 2 {
-		require.NoError(t, world.reserve("b", "p", true))
+		require.NoError(t, cluster.reserve("b", "p", true))
 	}
 }
 
-// Guards against a planned stop that takes unspent tokens along.
-func TestPlannedStopGivesUpWhatIsUnspent(t *testing.T) {
-	world := newWorld()
-	require.NoError(t, world.reserve("a", "p", false))
-	world.open[0].Close()
-	world.allocators["a"].ReleaseUnspent(context.Background())
-	world.restart("a")
-	for range testBudget / testMost {
-		require.NoError(t, world.reserve("b", "p", true))
+// Guards against a planned stop that loses unspent tokens.
+func TestPlannedStopReturnsUnspentTokens(t *testing.T) {
+	cluster := newCluster()
+	require.NoError(t, cluster.reserve("a", "p", false))
+	cluster.reservations[0].Close()
+	cluster.allocators["a"].ReleaseUnspent(context.Background())
+	cluster.restart("a")
+	for range testBudget / testMaxTokens {
+		require.NoError(t, cluster.reserve("b", "p", true))
 	}
 }
 
-// Guards against tokens that are spent here and reserved by another host.
-func TestTokensGivenBackInDoubtAreNotUsedAgain(t *testing.T) {
-	world := newWorld()
-	require.NoError(t, world.reserve("a", "p", false))
-	world.open[0].Close()
-	world.clock.Advance(defaultSettle)
-	world.store.next = "late"
-	world.allocators["a"].ReleaseIdle(context.Background())
-	require.NotEmpty(t, world.store.late)
-	require.NoError(t, world.reserve("a", "p", true))
-	world.carryOutLate()
+// Guards against tokens that are spent at one host and reserved by another.
+func TestTokensOfAnUncertainReturnAreNotReused(t *testing.T) {
+	cluster := newCluster()
+	require.NoError(t, cluster.reserve("a", "p", false))
+	cluster.reservations[0].Close()
+	cluster.clock.Advance(defaultSettleTime)
+	cluster.store.nextFault = "late"
+	cluster.allocators["a"].ReleaseIdle(context.Background())
+	require.NotEmpty(t, cluster.store.delayed)
+	require.NoError(t, cluster.reserve("a", "p", true))
+	cluster.commitDelayed()
 	for range 4 {
-		_ = world.reserve("b", "p", true)
+		_ = cluster.reserve("b", "p", true)
 	}
-	require.LessOrEqual(t, world.couldHand("p"), testBudget)
+	require.LessOrEqual(t, cluster.maxDeliverable("p"), testBudget)
 }
 
-// Guards against an engine that generates more than it was asked for.
-func TestMoreThanReservedIsNotHandedOut(t *testing.T) {
-	world := newWorld()
-	require.NoError(t, world.reserve("a", "p", false))
-	require.True(t, world.open[0].Spend(testMost))
-	require.False(t, world.open[0].Spend(testEvent))
+// Guards against an engine that generates more than the requested maximum.
+func TestMoreThanReservedIsNotDelivered(t *testing.T) {
+	cluster := newCluster()
+	require.NoError(t, cluster.reserve("a", "p", false))
+	require.True(t, cluster.reservations[0].Spend(testMaxTokens))
+	require.False(t, cluster.reservations[0].Spend(testEventTokens))
 }
 
-// Guards against rows of programs that are long over.
-func TestRowIsRemovedAfterItsTime(t *testing.T) {
-	world := newWorld()
-	require.NoError(t, world.reserve("a", "p", false))
-	world.open[0].Close()
-	world.clock.Advance(bvclock.Minute + forgetAfter + 1)
-	world.allocators["a"].ReleaseIdle(context.Background())
-	rows, err := world.store.Memory.Scan(context.Background(), "budget/", "", 10)
+// Guards against rows that stay in the store after their retention.
+func TestRowIsRemovedAfterItsRetention(t *testing.T) {
+	cluster := newCluster()
+	require.NoError(t, cluster.reserve("a", "p", false))
+	cluster.reservations[0].Close()
+	cluster.clock.Advance(bvclock.Minute + expiryMargin + 1)
+	cluster.allocators["a"].ReleaseIdle(context.Background())
+	rows, err := cluster.store.Memory.Scan(context.Background(), "budget/", "", 10)
 	require.NoError(t, err)
 	require.Empty(t, rows)
-	require.Zero(t, world.allocators["a"].Len())
+	require.Zero(t, cluster.allocators["a"].Len())
 }
--- a/bvbudget/grant.go
+++ b/bvbudget/grant.go
@@ -5,159 +5,158 @@
 	"balsamvalve.example/bvlease"
 )
 
-// Grantors tells which host grants a program's first half from its memory.
+// Grantors determines which host grants a program's in-memory half.
 type Grantors interface {
-	// Holder returns the host that may grant, as far as this host knows; false
-	// where it knows none.
+	// Holder returns the host that may grant, as far as this host knows, or false if it
+	// knows none.
 	Holder(program string) (bvlease.Host, bool)
-	// MayGrant reports whether this host alone may grant for the program now.
-	// It must never be true for a host while a grant of another one can still be
-	// spent.
+	// MayGrant reports whether this host alone may grant for the program now. It must never
+	// be true for a host while a grant of another one can still be spent.
 	MayGrant(now bvclock.Time, program string, retain bvclock.Duration) bool
 }
 
-// SetGrantors lets programs' first halves be granted from memory. It is called
-// before the first turn, on all hosts or on none.
+// SetGrantors enables grants of programs' in-memory halves. It is called before the first
+// turn, on all hosts or on none.
 func (allocator *Allocator) SetGrantors(grantors Grantors) { allocator.grantors = grantors }
 
-// grant is the first half of a program's budget, at its grantor.
+// grant is the in-memory half of a program's budget at its grantor.
 type grant struct {
-	left   int // tokens not granted yet
-	usedAt bvclock.Time
-	retain bvclock.Duration
+	remaining int // tokens not granted yet
+	lastUsed  bvclock.Time
+	retain    bvclock.Duration
 }
 
-// over reports whether the program can't come back any more.
-func (grant *grant) over(now bvclock.Time) bool {
-	return now.Sub(grant.usedAt) > grant.retain+bvlease.MaxProgramTime
+// isExpired reports whether the program can have no further turns.
+func (grant *grant) isExpired(now bvclock.Time) bool {
+	return now.Sub(grant.lastUsed) > grant.retain+bvlease.MaxProgramTime
 }
 
-// half is how many tokens each half has. The two may pass the budget together by
-// one turn at its most, which is allowed; with half of the budget only, many more
+// halfBudget returns how many tokens each half has. Together they may exceed the budget by
+// one turn's maximum, which is allowed; with exactly half of the budget each, many more
 // programs would need both halves.
-func half(budget, most int) int { return (budget + most) / 2 }
+func halfBudget(budget, maxTokens int) int { return (budget + maxTokens) / 2 }
 
-// stored is the part of a budget that the program's row holds.
-func (allocator *Allocator) stored(turn Turn) int {
+// storedBudget returns the part of a budget that is in the program's row.
+func (allocator *Allocator) storedBudget(turn Turn) int {
 	if allocator.grantors == nil {
 		return turn.Budget
 	}
-	return half(turn.Budget, turn.MaxTokens)
+	return halfBudget(turn.Budget, turn.MaxTokens)
 }
 
-// grant gives out tokens of a program's first half if this host may. For what
-// withheld means, see TokenReply. Hosts that have just started read lists that are not
-// complete yet, and each names another grantor; whoever is asked in its place must
-// not deny what the right one has. The caller holds the mutex.
-func (allocator *Allocator) grant(want TokenRequest) (tokens int, withheld bool) {
+// grantTokens grants tokens of a program's in-memory half if this host may. Undecided has
+// the meaning it has in TokenReply: hosts that have just started have incomplete lists and
+// may each choose another grantor, and one that is wrongly chosen must not deny tokens
+// that the right one has. The caller holds the mutex.
+func (allocator *Allocator) grantTokens(request TokenRequest) (tokens int, undecided bool) {
 	now := allocator.clock.Now()
 	if allocator.grantors == nil {
 		return 0, false
 	}
-	if !allocator.grantors.MayGrant(now, want.Program, want.Retain) {
-		holder, found := allocator.grantors.Holder(want.Program)
-		return 0, want.AsGrantor || !found || holder.Incarnation == allocator.host
+	if !allocator.grantors.MayGrant(now, request.Program, request.Retain) {
+		holder, found := allocator.grantors.Holder(request.Program)
+		return 0, request.AsGrantor || !found || holder.Incarnation == allocator.incarnation
 	}
-	found := allocator.grants[want.Program]
+	found := allocator.grants[request.Program]
 	if found == nil {
-		found = &grant{left: half(want.Budget, want.MaxTokens)}
-		allocator.grants[want.Program] = found
+		found = &grant{remaining: halfBudget(request.Budget, request.MaxTokens)}
+		allocator.grants[request.Program] = found
 	}
-	found.usedAt, found.retain = now, max(found.retain, want.Retain)
-	tokens = block(found.left, want.Tokens, want.MaxTokens)
-	if found.left < want.Tokens {
+	found.lastUsed, found.retain = now, max(found.retain, request.Retain)
+	tokens = blockSize(found.remaining, request.Tokens, request.MaxTokens)
+	if found.remaining < request.Tokens {
 		tokens = 0
-		if want.Partial {
-			tokens = found.left
+		if request.Partial {
+			tokens = found.remaining
 		}
 	}
-	found.left -= tokens
+	found.remaining -= tokens
 	return tokens, false
 }
 
-// grantHere grants for a turn of this host's own.
-func (allocator *Allocator) grantHere(account *account, turn Turn, partial bool) (withheld bool) {
+// grantLocally grants tokens for a turn of this host.
+func (allocator *Allocator) grantLocally(account *account, turn Turn, partial bool) (undecided bool) {
 	allocator.mutex.Lock()
 	defer allocator.mutex.Unlock()
 	need := turn.MaxTokens - account.free
 	if need <= 0 {
 		return false
 	}
-	tokens, withheld := allocator.grant(turn.want(need, partial))
+	tokens, undecided := allocator.grantTokens(turn.tokenRequest(need, partial))
 	account.free += tokens
-	return withheld
+	return undecided
 }
 
-// want is what a turn needs of another host.
-func (turn Turn) want(tokens int, partial bool) TokenRequest {
+// tokenRequest returns a request for tokens that the turn lacks.
+func (turn Turn) tokenRequest(tokens int, partial bool) TokenRequest {
 	return TokenRequest{
 		Program: turn.Program, Tokens: tokens, Partial: partial,
 		Budget: turn.Budget, MaxTokens: turn.MaxTokens, Retain: turn.Retain,
 	}
 }
 
-// grantor returns the address of another host that may grant for a program, or ""
-// where there is none.
-func (allocator *Allocator) grantor(program string) string {
+// grantorAddress returns the address of another host that may grant for a program, or ""
+// if there is none.
+func (allocator *Allocator) grantorAddress(program string) string {
 	if allocator.grantors == nil {
 		return ""
 	}
 	holder, found := allocator.grantors.Holder(program)
-	if !found || holder.Incarnation == allocator.host {
+	if !found || holder.Incarnation == allocator.incarnation {
 		return ""
 	}
 	return holder.Address
 }
 
-// GrantCount returns how many programs this host has granted for.
+// GrantCount returns how many programs have grants at this host.
 func (allocator *Allocator) GrantCount() int {
 	allocator.mutex.Lock()
 	defer allocator.mutex.Unlock()
 	return len(allocator.grants)
 }
 
-// forgetGrants drops the grants of programs that are over. The caller holds the
-// mutex.
-func (allocator *Allocator) forgetGrants(now bvclock.Time) {
+// removeExpiredGrants removes the grants of programs that can have no further turns. The
+// caller holds the mutex.
+func (allocator *Allocator) removeExpiredGrants(now bvclock.Time) {
 	for program, grant := range allocator.grants {
-		if grant.over(now) {
+		if grant.isExpired(now) {
 			delete(allocator.grants, program)
 		}
 	}
 }
 
-// GrantState is what a grantor knows of one program, for the next process of its
-// host.
+// GrantState is the state of one program's grant that is handed over to the next process
+// of the grantor's host.
 type GrantState struct {
 	Program string           `json:"program"`
 	Left    int              `json:"left"`   // tokens not granted yet
-	Idle    bvclock.Duration `json:"idle"`   // since the last grant, in milliseconds
+	Idle    bvclock.Duration `json:"idle"`   // time since the last grant, in milliseconds
 	Retain  bvclock.Duration `json:"retain"` // how long the program may pause, in milliseconds
 }
 
-// ExportGrants returns all grants of programs that are not over. It is called when
-// this host grants nothing more.
+// ExportGrants returns all grants that have not expired. It is called when this host no
+// longer grants.
 func (allocator *Allocator) ExportGrants() []GrantState {
 	now := allocator.clock.Now()
 	allocator.mutex.Lock()
 	defer allocator.mutex.Unlock()
-	allocator.forgetGrants(now)
+	allocator.removeExpiredGrants(now)
 	granted := make([]GrantState, 0, len(allocator.grants))
 	for program, grant := range allocator.grants {
 		granted = append(granted, GrantState{
-			Program: program, Left: grant.left, Idle: now.Sub(grant.usedAt), Retain: grant.retain,
+			Program: program, Left: grant.remaining, Idle: now.Sub(grant.lastUsed), Retain: grant.retain,
 		})
 	}
 	return granted
 }
 
-// ImportGrants takes over the grants of this host's last process, before this one
-// grants anything.
+// ImportGrants restores the grants of this host's last process. It is called before this
+// process grants any tokens.
 func (allocator *Allocator) ImportGrants(granted []GrantState) {
 	now := allocator.clock.Now()
 	allocator.mutex.Lock()
 	defer allocator.mutex.Unlock()
-	for _, known := range granted {
-		allocator.grants[known.Program] = &grant{left: known.Left, usedAt: now.Add(-known.Idle), retain: known.Retain}
+	for _, state := range granted {
+		allocator.grants[state.Program] = &grant{remaining: state.Left, lastUsed: now.Add(-state.Idle), retain: state.Retain}
 	}
 }
--- a/bvbudget/grant_test.go
+++ b/bvbudget/grant_test.go
@@ -13,89 +13,89 @@
 	"balsamvalve.example/bvverdict"
 )
 
-// oneGrantor lets one process of host a grant for all programs, as bvlease does:
-// never another one after it, unless it went on from what that one left behind.
-type oneGrantor struct {
-	world       *world
+// singleGrantor lets one process of host a grant for all programs, as bvlease does. A later
+// process may grant only if it took over the earlier one's grants.
+type singleGrantor struct {
+	cluster     *cluster
 	incarnation string // the process that may grant
 }
 
-func (grantor *oneGrantor) Holder(string) (bvlease.Host, bool) {
-	return bvlease.Host{Name: "a", Incarnation: grantor.world.allocators["a"].host, Address: "a"}, true
+func (grantor *singleGrantor) Holder(string) (bvlease.Host, bool) {
+	return bvlease.Host{Name: "a", Incarnation: grantor.cluster.allocators["a"].incarnation, Address: "a"}, true
 }
 
-func (grantor *oneGrantor) MayGrant(bvclock.Time, string, bvclock.Duration) bool { return false }
+func (grantor *singleGrantor) MayGrant(bvclock.Time, string, bvclock.Duration) bool { return false }
 
-// grantorAt is the view of one host.
-type grantorAt struct {
-	*oneGrantor
+// grantorView is the Grantors of one host.
+type grantorView struct {
+	*singleGrantor
 	self string
 }
 
-func (grantor grantorAt) MayGrant(bvclock.Time, string, bvclock.Duration) bool {
+func (grantor grantorView) MayGrant(bvclock.Time, string, bvclock.Duration) bool {
 	return grantor.self == grantor.incarnation
 }
 
-func newHalvesWorld() (*world, *oneGrantor) {
-	world := newWorld()
-	grantor := &oneGrantor{world: world, incarnation: world.allocators["a"].host}
-	for _, allocator := range world.allocators {
-		allocator.SetGrantors(grantorAt{grantor, allocator.host})
+func newGrantorCluster() (*cluster, *singleGrantor) {
+	cluster := newCluster()
+	grantor := &singleGrantor{cluster: cluster, incarnation: cluster.allocators["a"].incarnation}
+	for _, allocator := range cluster.allocators {
+		allocator.SetGrantors(grantorView{grantor, allocator.incarnation})
 	}
-	return world, grantor
+	return cluster, grantor
 }
 
-// again restarts a host; with handover, what it granted goes with it.
-func (grantor *oneGrantor) again(host string, handover bool) {
-	before := grantor.world.allocators[host]
-	grantor.world.restart(host)
-	next := grantor.world.allocators[host]
-	next.SetGrantors(grantorAt{grantor, next.host})
-	if handover && before.host == grantor.incarnation {
+// restart restarts a host; with handover, the new process takes over its grants.
+func (grantor *singleGrantor) restart(host string, handover bool) {
+	before := grantor.cluster.allocators[host]
+	grantor.cluster.restart(host)
+	next := grantor.cluster.allocators[host]
+	next.SetGrantors(grantorView{grantor, next.incarnation})
+	if handover && before.incarnation == grantor.incarnation {
 		next.ImportGrants(before.ExportGrants())
-		grantor.incarnation = next.host
+		grantor.incarnation = next.incarnation
 	}
 }
 
-// Guards against a budget that both halves together pass by more than a turn.
-func TestHalvesNeverPassTheBudgetByMoreThanATurn(t *testing.T) {
+// Guards against a budget that both halves together exceed by more than a turn.
+func TestHalvesNeverExceedTheBudgetByMoreThanATurn(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		world, grantor := newHalvesWorld()
+		cluster, grantor := newGrantorCluster()
 		hosts := rapid.SampledFrom([]string{"a", "a", "b", "b", "c"})
 		programs := rapid.SampledFrom([]string{"p", "p", "p", "q"})
 		rt.Repeat(map[string]func(*rapid.T){
 			"reserve": func(rt *rapid.T) {
-				world.store.next = rapid.SampledFrom([]string{"", "", "down", "lost", "late", "never"}).Draw(rt, "fault")
-				world.lending = rapid.SampledFrom([]string{"", "", "lost", "late"}).Draw(rt, "lending")
-				_ = world.reserve(hosts.Draw(rt, "host"), programs.Draw(rt, "program"), rapid.Bool().Draw(rt, "continues"))
+				cluster.store.nextFault = rapid.SampledFrom([]string{"", "", "down", "lost", "late", "never"}).Draw(rt, "fault")
+				cluster.lendingFault = rapid.SampledFrom([]string{"", "", "lost", "late"}).Draw(rt, "lending")
+				_ = cluster.reserve(hosts.Draw(rt, "host"), programs.Draw(rt, "program"), rapid.Bool().Draw(rt, "continues"))
 			},
 			"spend and end": func(rt *rapid.T) {
-				if len(world.open) == 0 {
+				if len(cluster.reservations) == 0 {
 					return
 				}
-				at := rapid.IntRange(0, len(world.open)-1).Draw(rt, "turn")
-				world.spendAndEnd(at, rapid.IntRange(0, 30).Draw(rt, "events"))
+				at := rapid.IntRange(0, len(cluster.reservations)-1).Draw(rt, "turn")
+				cluster.spendAndClose(at, rapid.IntRange(0, 30).Draw(rt, "events"))
 			},
 			"pause": func(rt *rapid.T) {
-				world.clock.Advance(defaultSettle)
-				world.allocators[hosts.Draw(rt, "host")].ReleaseIdle(context.Background())
+				cluster.clock.Advance(defaultSettleTime)
+				cluster.allocators[hosts.Draw(rt, "host")].ReleaseIdle(context.Background())
 			},
 			"late": func(rt *rapid.T) {
-				world.carryOutLate()
-				for _, letter := range world.letters {
-					world.allocators[letter.host].AcceptTokens(letter.program, letter.tokens, nil)
+				cluster.commitDelayed()
+				for _, reply := range cluster.lateReplies {
+					cluster.allocators[reply.host].AcceptTokens(reply.program, reply.tokens, nil)
 				}
-				world.letters = nil
+				cluster.lateReplies = nil
 			},
 			"die or stop": func(rt *rapid.T) {
 				host := hosts.Draw(rt, "host")
-				world.dropTurnsOf(host)
-				grantor.again(host, rapid.Bool().Draw(rt, "planned"))
+				cluster.dropReservations(host)
+				grantor.restart(host, rapid.Bool().Draw(rt, "planned"))
 			},
 			"": func(rt *rapid.T) {
 				for _, program := range []string{"p", "q"} {
-					if could := world.couldHand(program); could > testBudget+testMost {
-						rt.Fatalf("program %s can get %d tokens of a budget of %d", program, could, testBudget)
+					if tokens := cluster.maxDeliverable(program); tokens > testBudget+testMaxTokens {
+						rt.Fatalf("program %s can get %d tokens of a budget of %d", program, tokens, testBudget)
 					}
 				}
 			},
@@ -103,99 +103,99 @@
 	})
 }
 
-// The oracle above must notice a grantor that forgets what it granted.
+// The oracle above must detect a grantor that forgets its grants.
 func TestOracleCatchesAForgetfulGrantor(t *testing.T) {
-	world, _ := newHalvesWorld()
+	cluster, _ := newGrantorCluster()
 	for range 3 {
-		for world.reserve("b", "p", true) == nil {
-			world.spendAndEnd(len(world.open)-1, testMost/testEvent)
+		for cluster.reserve("b", "p", true) == nil {
+			cluster.spendAndClose(len(cluster.reservations)-1, testMaxTokens/testEventTokens)
 		}
-		clear(world.allocators["a"].grants)
+		clear(cluster.allocators["a"].grants)
 	}
-	require.Greater(t, world.couldHand("p"), testBudget+testMost)
+	require.Greater(t, cluster.maxDeliverable("p"), testBudget+testMaxTokens)
 }
 
-// Guards against programs that need the store to begin.
-func TestProgramBeginsWhileTheStoreIsAway(t *testing.T) {
-	world, _ := newHalvesWorld()
+// Guards against programs that can't start without the store.
+func TestProgramStartsWhileTheStoreIsUnavailable(t *testing.T) {
+	cluster, _ := newGrantorCluster()
 	for turn, host := range []string{"b", "c", "a"} {
-		world.store.next = "down"
-		require.NoError(t, world.reserve(host, "p", turn > 0), "turn %d", turn)
-		world.spendAndEnd(0, 12) // about half of what a turn may generate
+		cluster.store.nextFault = "down"
+		require.NoError(t, cluster.reserve(host, "p", turn > 0), "turn %d", turn)
+		cluster.spendAndClose(0, 12) // about half of what a turn may generate
 	}
 }
 
-// Guards against a program that ends early with its grantor.
-func TestProgramGoesOnWithTheRowWhenItsGrantorDied(t *testing.T) {
-	world, grantor := newHalvesWorld()
-	require.NoError(t, world.reserve("b", "p", false))
-	world.spendAndEnd(0, testMost/testEvent)
-	grantor.again("a", false)
-	for range half(testBudget, testMost) / testMost {
-		require.NoError(t, world.reserve("c", "p", true))
-		world.spendAndEnd(0, testMost/testEvent)
+// Guards against a program that ends early because its grantor failed.
+func TestProgramContinuesWithTheRowAfterItsGrantorFailed(t *testing.T) {
+	cluster, grantor := newGrantorCluster()
+	require.NoError(t, cluster.reserve("b", "p", false))
+	cluster.spendAndClose(0, testMaxTokens/testEventTokens)
+	grantor.restart("a", false)
+	for range halfBudget(testBudget, testMaxTokens) / testMaxTokens {
+		require.NoError(t, cluster.reserve("c", "p", true))
+		cluster.spendAndClose(0, testMaxTokens/testEventTokens)
 	}
 }
 
 // Guards against grants that are lost, or made twice, by a planned restart.
-func TestGrantsGoOnAfterAPlannedRestart(t *testing.T) {
-	world, grantor := newHalvesWorld()
-	require.NoError(t, world.reserve("b", "p", false))
-	left := world.allocators["a"].grants["p"].left
-	grantor.again("a", true)
-	require.Equal(t, left, world.allocators["a"].grants["p"].left)
-	require.NoError(t, world.reserve("c", "q", false))
+func TestGrantsContinueAfterAPlannedRestart(t *testing.T) {
+	cluster, grantor := newGrantorCluster()
+	require.NoError(t, cluster.reserve("b", "p", false))
+	left := cluster.allocators["a"].grants["p"].remaining
+	grantor.restart("a", true)
+	require.Equal(t, left, cluster.allocators["a"].grants["p"].remaining)
+	require.NoError(t, cluster.reserve("c", "q", false))
 }
 
-// Guards against a program that gets less than its budget.
+// Guards against a program that can't spend its whole budget.
 func TestLoopingProgramGetsBothHalves(t *testing.T) {
-	world, _ := newHalvesWorld()
-	world.clock.Advance(acquaintance)
+	cluster, _ := newGrantorCluster()
+	cluster.clock.Advance(discoveryTime)
 	var err error
 	for turn := 0; err == nil; turn++ {
 		host := fmt.Sprintf("%c", 'a'+turn%3)
-		if err = world.reserve(host, "p", turn > 0); err == nil {
-			world.spendAndEnd(0, testMost/testEvent)
+		if err = cluster.reserve(host, "p", turn > 0); err == nil {
+			cluster.spendAndClose(0, testMaxTokens/testEventTokens)
 		}
 	}
 	require.Equal(t, bvverdict.BudgetExceeded, bvverdict.From(err).Code())
-	require.Greater(t, world.handed["p"]+testMost, testBudget)
-	require.LessOrEqual(t, world.handed["p"], testBudget+testMost)
+	require.Greater(t, cluster.delivered["p"]+testMaxTokens, testBudget)
+	require.LessOrEqual(t, cluster.delivered["p"], testBudget+testMaxTokens)
 }
 
-// Guards against a lost half that counts as spent.
-func TestLostHalfIsNoSpentBudget(t *testing.T) {
-	world, grantor := newHalvesWorld()
-	world.clock.Advance(acquaintance)
-	grantor.again("a", false)
-	world.clock.Advance(acquaintance)
+// Guards against a lost in-memory half that counts as spent.
+func TestLostInMemoryHalfDoesNotCountAsSpent(t *testing.T) {
+	cluster, grantor := newGrantorCluster()
+	cluster.clock.Advance(discoveryTime)
+	grantor.restart("a", false)
+	cluster.clock.Advance(discoveryTime)
 	for _, host := range []string{"a", "b"} {
 		var err error
 		for err == nil {
-			if err = world.reserve(host, "p", false); err == nil {
-				world.spendAndEnd(0, testMost/testEvent)
+			if err = cluster.reserve(host, "p", false); err == nil {
+				cluster.spendAndClose(0, testMaxTokens/testEventTokens)
 			}
 		}
 		require.Equal(t, bvverdict.PlatformUnavailable, bvverdict.From(err).Code(), "through host %s", host)
 	}
-	require.Equal(t, half(testBudget, testMost)/testMost*testMost, world.handed["p"])
+	require.Equal(t, halfBudget(testBudget, testMaxTokens)/testMaxTokens*testMaxTokens, cluster.delivered["p"])
 }
 
-// Guards against a wrong host's no that counts as the grantor's.
-func TestHostThatIsWronglyTakenForTheGrantorDeniesNothing(t *testing.T) {
-	world, _ := newHalvesWorld()
-	want := TokenRequest{Program: "p", Tokens: testMost, Budget: testBudget, MaxTokens: testMost, Partial: true}
-	require.Equal(t, TokenReply{}, world.allocators["b"].LendTokens("c", want))
-	want.AsGrantor = true
-	require.Equal(t, TokenReply{Undecided: true}, world.allocators["b"].LendTokens("c", want))
+// Guards against a refusal by a host that is wrongly considered the grantor.
+func TestHostWronglyConsideredTheGrantorIsUndecided(t *testing.T) {
+	cluster, _ := newGrantorCluster()
+	request := TokenRequest{Program: "p", Tokens: testMaxTokens, Budget: testBudget, MaxTokens: testMaxTokens, Partial: true}
+	require.Equal(t, TokenReply{}, cluster.allocators["b"].LendTokens("c", request))
+	request.AsGrantor = true
+	require.Equal(t, TokenReply{Undecided: true}, cluster.allocators["b"].LendTokens("c", request))
 }
 
-// A program is over for so long that it can't come back. Its grantor forgets it.
-func TestGrantorForgetsProgramsThatAreOver(t *testing.T) {
-	world, _ := newHalvesWorld()
-	require.NoError(t, world.reserve("b", "p", false))
-	require.Len(t, world.allocators["a"].grants, 1)
-	world.clock.Advance(bvclock.Minute + bvlease.MaxProgramTime + 1)
-	world.allocators["a"].ReleaseIdle(context.Background())
-	require.Empty(t, world.allocators["a"].grants)
+// Guards against grants that stay in memory after their program has expired.
+func TestGrantorRemovesExpiredGrants(t *testing.T) {
+	cluster, _ := newGrantorCluster()
+	require.NoError(t, cluster.reserve("b", "p", false))
+	require.Len(t, cluster.allocators["a"].grants, 1)
+	cluster.clock.Advance(bvclock.Minute + bvlease.MaxProgramTime + 1)
+	cluster.allocators["a"].ReleaseIdle(context.Background())
+	require.Empty(t, cluster.allocators["a"].grants)
 }
--- a/bvbudget/lend.go
+++ b/bvbudget/lend.go
@@ -11,33 +11,33 @@
 )
 
 const (
-	// maxHolders bounds the programs of other hosts that are remembered.
-	maxHolders = 20_000
-	// hostsPerProgram bounds the hosts remembered for a program: its turns
-	// and sub-agents come through about as many at once.
-	hostsPerProgram = 8
+	// maxHolderPrograms bounds the programs whose holders are stored.
+	maxHolderPrograms = 20_000
+	// maxHoldersPerProgram bounds the holders stored for a program. Its turns and
+	// sub-agents arrive at about as many hosts at once.
+	maxHoldersPerProgram = 8
 )
 
-// TakeReservedPrograms returns the hashes of programs that this host has reserved tokens of
-// since the last call, for telling other hosts.
+// TakeReservedPrograms returns the hashes of programs of which this host has reserved
+// tokens since the last call. They are reported to other hosts.
 func (allocator *Allocator) TakeReservedPrograms() []uint64 {
 	allocator.mutex.Lock()
 	defer allocator.mutex.Unlock()
-	begun := allocator.begun
-	allocator.begun = nil
-	return begun
+	programs := allocator.reservedPrograms
+	allocator.reservedPrograms = nil
+	return programs
 }
 
-// AddHolder notes that another host has reserved tokens of programs.
+// AddHolder records that another host has reserved tokens of programs.
 func (allocator *Allocator) AddHolder(host string, programs []uint64) {
 	allocator.mutex.Lock()
 	defer allocator.mutex.Unlock()
 	for _, program := range programs {
-		allocator.noteHolder(program, host)
+		allocator.recordHolder(program, host)
 	}
 }
 
-// Holders returns the addresses of hosts that had turns of a program.
+// Holders returns the addresses of hosts that may hold tokens of a program.
 func (allocator *Allocator) Holders(program string) []string {
 	allocator.mutex.Lock()
 	defer allocator.mutex.Unlock()
@@ -45,62 +45,63 @@
 	return hosts
 }
 
-func (allocator *Allocator) noteHolder(program uint64, host string) {
+func (allocator *Allocator) recordHolder(program uint64, host string) {
 	hosts, _ := allocator.holders.Get(program)
-	if len(hosts) < hostsPerProgram && !slices.Contains(hosts, host) {
+	if len(hosts) < maxHoldersPerProgram && !slices.Contains(hosts, host) {
 		allocator.holders.Add(program, append(slices.Clone(hosts), host))
 	}
 }
 
-// wholeAsks is how many hosts are asked for a whole turn before the store: the
-// program's grantor, and one that has turns of it.
-const wholeAsks = 2
-
-// borrow gets tokens from this host's own grants and from the hosts that may have
-// some of the program: a whole turn from one of the first, or, with partial, all
-// that they can spare. It reports whether all that were asked have answered.
-func (allocator *Allocator) borrow(ctx context.Context, account *account, turn Turn, partial bool) (reservation *Reservation, sure bool) {
-	withheld := allocator.grantHere(account, turn, partial)
-	if reservation := allocator.takeFree(account, turn); reservation != nil {
+// maxFullRequests is how many hosts are asked for all tokens of a turn before the store:
+// the program's grantor, and one host that has turns of it.
+const maxFullRequests = 2
+
+// borrow gets tokens from this host's own grants and from other hosts that may have some
+// of the program: all that a turn lacks from one of the first hosts, or, with partial, as
+// many as each can lend. Conclusive is false if the grantor or a host that was queried
+// left open whether it has more tokens, or if a holder may not be discovered yet.
+func (allocator *Allocator) borrow(ctx context.Context, account *account, turn Turn, partial bool) (reservation *Reservation, conclusive bool) {
+	undecided := allocator.grantLocally(account, turn, partial)
+	if reservation := allocator.reserveFree(account, turn); reservation != nil {
 		return reservation, true
 	}
-	sure = !withheld
-	grantor := allocator.grantor(account.program)
-	tried := make(map[string]bool)
-	for asks := 0; partial || asks < wholeAsks; {
-		host, found := allocator.lenderOf(account, grantor, tried)
+	conclusive = !undecided
+	grantor := allocator.grantorAddress(account.program)
+	queried := make(map[string]bool)
+	for requests := 0; partial || requests < maxFullRequests; {
+		host, found := allocator.nextLender(account, grantor, queried)
 		if !found {
-			return nil, sure && !allocator.mayMissHosts(account)
+			return nil, conclusive && !allocator.hasUndiscoveredHolders(account)
 		}
-		tried[host] = true
+		queried[host] = true
 		allocator.mutex.Lock()
 		need := turn.MaxTokens - account.free
 		allocator.mutex.Unlock()
-		want := turn.want(need, partial)
-		want.AsGrantor = host == grantor
-		asked, answered := allocator.lenders.RequestTokens(ctx, host, want)
-		sure = sure && (answered || !asked && host != grantor)
-		if reservation := allocator.takeFree(account, turn); reservation != nil {
-			return reservation, sure
+		request := turn.tokenRequest(need, partial)
+		request.AsGrantor = host == grantor
+		sent, answered := allocator.lenders.RequestTokens(ctx, host, request)
+		conclusive = conclusive && (answered || !sent && host != grantor)
+		if reservation := allocator.reserveFree(account, turn); reservation != nil {
+			return reservation, conclusive
 		}
-		if asked {
-			asks++
+		if sent {
+			requests++
 		}
 	}
-	return nil, sure
+	return nil, conclusive
 }
 
-// acquaintance is how long after its start a host may not have heard of all
-// others: it reads their list each second at first, and digests come ten times a
-// second, some of them lost.
-const acquaintance = 3 * bvclock.Second
-
-// mayMissHosts reports whether the program's record names a host that this one
-// may only not have heard of yet. A host that has just started can't tell it
-// from a dead one, and would tell the program that its budget is spent while
-// most of it lies unspent there.
-func (allocator *Allocator) mayMissHosts(account *account) bool {
-	if allocator.clock.Now().Sub(allocator.started) >= acquaintance {
+// discoveryTime is how long after its start a host may not have discovered all others: it
+// reads their list each second at first, and digests arrive ten times a second, some of
+// them lost.
+const discoveryTime = 3 * bvclock.Second
+
+// hasUndiscoveredHolders reports whether the program's record names a host that this one
+// may not have discovered yet. A host that has just started can't distinguish it from a
+// failed one, and would refuse the program as over budget while most of its budget is
+// unspent there.
+func (allocator *Allocator) hasUndiscoveredHolders(account *account) bool {
+	if allocator.clock.Now().Sub(allocator.started) >= discoveryTime {
 		return false
 	}
 	allocator.mutex.Lock()
@@ -112,85 +113,83 @@
 		}
 	}
 	return slices.ContainsFunc(granted, func(incarnation string) bool {
-		_, heard := allocator.lenders.AddressOfIncarnation(incarnation)
-		return incarnation != allocator.host && !heard
+		_, reachable := allocator.lenders.AddressOfIncarnation(incarnation)
+		return incarnation != allocator.incarnation && !reachable
 	})
 }
 
-// lenderOf returns a host that may have tokens of a program and was not tried
-// yet: its grantor, one that told so, one that others told of, or one that its
-// record names.
-// Digests alone are not enough: a program's next turn can come before they do,
-// and a host that has just started has heard none, so that a program was told
-// that its budget is spent while most of it lay unspent at other hosts.
-func (allocator *Allocator) lenderOf(account *account, grantor string, tried map[string]bool) (host string, found bool) {
-	if grantor != "" && !tried[grantor] {
+// nextLender returns a host that may have tokens of a program and was not queried yet: its
+// grantor, one that reported so itself or was named by another host, or one that the
+// record names. Digests alone are not enough: a program's next turn can arrive before
+// them, and a host that has just started has received none. The program would be refused
+// as over budget while most of its budget is unspent at other hosts.
+func (allocator *Allocator) nextLender(account *account, grantor string, queried map[string]bool) (host string, found bool) {
+	if grantor != "" && !queried[grantor] {
 		return grantor, true
 	}
 	allocator.mutex.Lock()
-	told, _ := allocator.holders.Get(xxhash.Sum64String(account.program))
+	reported, _ := allocator.holders.Get(xxhash.Sum64String(account.program))
 	granted := slices.Sorted(maps.Keys(account.record.Granted))
 	allocator.mutex.Unlock()
-	for _, host := range told {
-		if !tried[host] {
+	for _, host := range reported {
+		if !queried[host] {
 			return host, true
 		}
 	}
 	for _, incarnation := range granted {
-		host, heard := allocator.lenders.AddressOfIncarnation(incarnation)
-		if incarnation != allocator.host && heard && !tried[host] {
+		host, reachable := allocator.lenders.AddressOfIncarnation(incarnation)
+		if incarnation != allocator.incarnation && reachable && !queried[host] {
 			return host, true
 		}
 	}
 	return "", false
 }
 
-// LendTokens gives up tokens for another host: at least as many as it asks for, or
-// none; with partial, as many as there are up to that. They come from what this
-// host holds, or from what it may grant. The answer names the other hosts that may
-// hold tokens of the program, as far as they are known here: no record names
-// those that hold only what was lent to them.
-func (allocator *Allocator) LendTokens(borrower string, want TokenRequest) TokenReply {
+// LendTokens deducts tokens for another host: at least as many as it requests, or none;
+// with partial, as many as there are up to that number. They come from the tokens that
+// this host holds, or from those that it may grant. The reply names the other hosts known
+// here that may hold tokens of the program, because the record does not name hosts that
+// hold only borrowed tokens.
+func (allocator *Allocator) LendTokens(borrower string, request TokenRequest) TokenReply {
 	allocator.mutex.Lock()
 	defer allocator.mutex.Unlock()
-	hash := xxhash.Sum64String(want.Program)
-	given := TokenReply{Tokens: allocator.lendFree(want)}
-	given.Holders, _ = allocator.holders.Get(hash)
-	if given.Tokens < want.Tokens {
-		want.Tokens -= given.Tokens
-		granted, withheld := allocator.grant(want)
-		given.Tokens, given.Undecided = given.Tokens+granted, withheld
+	hash := xxhash.Sum64String(request.Program)
+	reply := TokenReply{Tokens: allocator.lendFree(request)}
+	reply.Holders, _ = allocator.holders.Get(hash)
+	if reply.Tokens < request.Tokens {
+		request.Tokens -= reply.Tokens
+		granted, undecided := allocator.grantTokens(request)
+		reply.Tokens, reply.Undecided = reply.Tokens+granted, undecided
 	}
-	if given.Tokens > 0 {
-		allocator.noteHolder(hash, borrower)
+	if reply.Tokens > 0 {
+		allocator.recordHolder(hash, borrower)
 	}
-	return given
+	return reply
 }
 
-// lendFree gives up what this host holds of a program's budget.
-func (allocator *Allocator) lendFree(want TokenRequest) int {
-	account := allocator.accounts[want.Program]
-	if account == nil || allocator.keeps || account.free < want.Tokens && !want.Partial {
+// lendFree deducts tokens that this host holds of a program's budget.
+func (allocator *Allocator) lendFree(request TokenRequest) int {
+	account := allocator.accounts[request.Program]
+	if account == nil || allocator.lendingDisabled || account.free < request.Tokens && !request.Partial {
 		return 0
 	}
-	lent := min(want.Tokens, account.free)
+	lent := min(request.Tokens, account.free)
 	account.free -= lent
 	return lent
 }
 
-// AcceptTokens takes in tokens that another host has given up, and the hosts that it
-// named.
+// AcceptTokens adds tokens that another host has lent, and the holders that it named.
 func (allocator *Allocator) AcceptTokens(program string, tokens int, holders []string) {
 	allocator.mutex.Lock()
 	defer allocator.mutex.Unlock()
 	hash := xxhash.Sum64String(program)
 	for _, holder := range holders {
-		allocator.noteHolder(hash, holder)
+		allocator.recordHolder(hash, holder)
 	}
 	account := allocator.accounts[program]
 	if account == nil || tokens == 0 {
 		return
 	}
 	account.free += tokens
-	allocator.begun = append(allocator.begun, hash)
+	allocator.reservedPrograms = append(allocator.reservedPrograms, hash)
 }
--- a/bvbudget/record.go
+++ b/bvbudget/record.go
@@ -5,15 +5,15 @@
 	"fmt"
 )
 
-// Record is a program's durable row: which hosts have reserved how much of its
-// budget. A host's entry counts as spent whether or not the host still lives,
-// so the sum never passes the budget.
+// Record is a program's durable row: how many tokens of its budget each host has reserved.
+// A host's entry counts as spent whether or not the host still runs, so the sum never
+// exceeds the budget.
 type Record struct {
 	Granted map[string]int `json:"granted"` // tokens by incarnation of a host
-	Expires int64          `json:"expires"` // when the row may be removed: time of day, in seconds
+	Expires int64          `json:"expires"` // when the row may be removed: Unix time in seconds
 }
 
-func decode(value []byte) (Record, error) {
+func decodeRecord(value []byte) (Record, error) {
 	if len(value) == 0 {
 		return Record{}, nil
 	}
@@ -25,12 +25,12 @@
 }
 
 func (record Record) encode() []byte {
-	encoded, _ := json.Marshal(record) // a map of numbers always encodes
+	encoded, _ := json.Marshal(record) // encoding a map of numbers can't fail
 	return encoded
 }
 
-// total is what all hosts have reserved.
-func (record Record) total() int {
+// totalGranted returns how many tokens all hosts have reserved.
+func (record Record) totalGranted() int {
 	sum := 0
 	for _, granted := range record.Granted {
 		sum += granted
@@ -38,50 +38,48 @@
 	return sum
 }
 
-// with returns the record with a host's entry replaced.
-func (record Record) with(host string, granted int) Record {
+// withEntry returns a copy of the record with a host's entry replaced.
+func (record Record) withEntry(incarnation string, granted int) Record {
 	changed := Record{Granted: make(map[string]int, len(record.Granted)+1), Expires: record.Expires}
-	for name, tokens := range record.Granted {
-		changed.Granted[name] = tokens
+	for other, tokens := range record.Granted {
+		changed.Granted[other] = tokens
 	}
-	changed.Granted[host] = granted
+	changed.Granted[incarnation] = granted
 	if granted == 0 {
-		delete(changed.Granted, host)
+		delete(changed.Granted, incarnation)
 	}
 	return changed
 }
 
 const (
-	// blockShare is the most of what is left of a budget that a host reserves
-	// beyond its need. What is lost with a host must leave enough for the
-	// others.
-	blockShare = 0.5
-	// blockTurns is the same in turns at their most.
+	// blockFraction is the largest fraction of the available tokens that a block has, unless
+	// the host needs more. The tokens lost with a failed host must leave enough for others.
+	blockFraction = 0.5
+	// blockTurns is the largest block in maximum turns, unless the host needs more.
 	blockTurns = 3
-	// plentyTurns is from how many turns on there is enough for such blocks. A
-	// host that gets more than it needs of less than that seldom saves a question:
-	// 793 of 1,586 tokens don't hold a second turn of 572 after one that spent 250.
-	plentyTurns = 6
+	// minTurnsForBlock is how many maximum turns must be available for a block that exceeds
+	// the need. With fewer, a block rarely saves a request: 793 of 1,586 tokens don't cover
+	// a second turn of 572 after one that spent 250.
+	minTurnsForBlock = 6
 )
 
-// grow returns how much more a host may reserve, at least need tokens, or
-// false where the budget does not hold that. A host reserves more than it
-// needs so that turns on all hosts seldom wait for a write, and a program goes
-// on while the store is away.
-func (record Record) grow(budget, need, most int) (int, bool) {
-	left := budget - record.total()
-	if left < need {
+// nextBlock returns how many more tokens a host may reserve, at least need, or false if the
+// budget does not cover that. A host reserves more than it needs so that turns rarely wait
+// for a write, and a program can continue while the store is unavailable.
+func (record Record) nextBlock(budget, need, maxTokens int) (int, bool) {
+	available := budget - record.totalGranted()
+	if available < need {
 		return 0, false
 	}
-	return block(left, need, most), true
+	return blockSize(available, need, maxTokens), true
 }
 
-// block is how much of what is left a host gets that needs some of it. Where little
-// is left it is no more than that: what lies unspent at one host, or is lost with
-// it, is missing at the next one.
-func block(left, need, most int) int {
-	if left < plentyTurns*most {
+// blockSize returns how many of the available tokens a host gets that needs some of them.
+// If few are available it is only the need, because tokens that are unspent at one host,
+// or lost with it, are missing at the next.
+func blockSize(available, need, maxTokens int) int {
+	if available < minTurnsForBlock*maxTokens {
 		return need
 	}
-	return max(need, min(int(float64(left)*blockShare), blockTurns*most))
+	return max(need, min(int(float64(available)*blockFraction), blockTurns*maxTokens))
 }
--- a/bvbudget/record_test.go
+++ b/bvbudget/record_test.go
@@ -6,19 +6,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against large blocks of small budgets that lie unspent or die with their host.
-func TestHostTakesNoMoreThanItNeedsOfLittle(t *testing.T) {
-	const most = 572
-	left := half(2600, most)
-	for _, need := range []int{most, most, 330} {
-		given := block(left, need, most)
-		require.Equal(t, need, given)
-		left -= given
+// Guards against large blocks of small budgets that stay unspent or are lost with a host.
+func TestBlockIsOnlyTheNeedWhenFewTokensAreAvailable(t *testing.T) {
+	const maxTokens = 572
+	available := halfBudget(2600, maxTokens)
+	for _, need := range []int{maxTokens, maxTokens, 330} {
+		size := blockSize(available, need, maxTokens)
+		require.Equal(t, need, size)
+		available -= size
 	}
-	require.Equal(t, 112, left)
+	require.Equal(t, 112, available)
 }
 
-// Where there is plenty, a block saves the questions of some turns.
-func TestHostTakesABlockOfPlenty(t *testing.T) {
-	require.Equal(t, blockTurns*572, block(half(12_900, 572), 572, 572))
+// Guards against a request for each turn where enough tokens are available.
+func TestBlockCoversSeveralTurnsWhenManyTokensAreAvailable(t *testing.T) {
+	require.Equal(t, blockTurns*572, blockSize(halfBudget(12_900, 572), 572, 572))
 }
--- a/bvbudget/release.go
+++ b/bvbudget/release.go
@@ -13,98 +13,99 @@
 	"balsamvalve.example/bvplatform"
 )
 
-// tidyWrites is how many accounts are tidied at once.
-const tidyWrites = 8
+// maxConcurrentWrites is how many accounts are written to the store at once.
+const maxConcurrentWrites = 8
 
-// ReleaseIdle gives back what lies unspent and forgets programs that are long over.
-// It is called a few times a second.
+// ReleaseIdle returns unspent tokens of idle programs to the record, and removes accounts
+// and rows of programs whose retention has passed. It is called a few times a second.
 func (allocator *Allocator) ReleaseIdle(ctx context.Context) {
-	returns, forgotten := allocator.due()
+	returnable, expired := allocator.dueAccounts()
 	group, ctx := errgroup.WithContext(ctx)
-	group.SetLimit(tidyWrites)
-	for _, account := range returns {
-		group.Go(func() error { allocator.giveBack(ctx, account, account.returnable); return nil })
+	group.SetLimit(maxConcurrentWrites)
+	for _, account := range returnable {
+		group.Go(func() error { allocator.returnTokens(ctx, account, account.returnableTokens); return nil })
 	}
-	for _, account := range forgotten {
-		group.Go(func() error { allocator.remove(ctx, account); return nil })
+	for _, account := range expired {
+		group.Go(func() error { allocator.removeRow(ctx, account); return nil })
 	}
 	_ = group.Wait() // the functions return no error
 }
 
-func (allocator *Allocator) due() (returns, forgotten []*account) {
+// dueAccounts returns the accounts whose unspent tokens are to be returned, and removes and
+// returns those whose retention has passed.
+func (allocator *Allocator) dueAccounts() (returnable, expired []*account) {
 	now := allocator.clock.Now()
 	allocator.mutex.Lock()
 	defer allocator.mutex.Unlock()
-	allocator.forgetGrants(now)
+	allocator.removeExpiredGrants(now)
 	for program, account := range allocator.accounts {
-		paused := now.Sub(account.usedAt)
+		paused := now.Sub(account.lastUsed)
 		switch {
-		case !account.idle():
-		case paused > account.retain+forgetAfter:
+		case !account.isIdle():
+		case paused > account.retain+expiryMargin:
 			delete(allocator.accounts, program)
-			forgotten = append(forgotten, account)
-		case paused > allocator.returnAfter() && account.returnable() > 0:
-			returns = append(returns, account)
+			expired = append(expired, account)
+		case paused > allocator.returnDelay() && account.returnableTokens() > 0:
+			returnable = append(returnable, account)
 		}
 	}
-	return returns, forgotten
+	return returnable, expired
 }
 
-// giveBack lowers this host's block by what is not needed here. A turn that
-// comes meanwhile waits for the account's turn.
-func (allocator *Allocator) giveBack(ctx context.Context, account *account, spare func() int) {
+// returnTokens lowers this host's entry in the record by the given amount. A turn that
+// arrives meanwhile waits for the account's lock.
+func (allocator *Allocator) returnTokens(ctx context.Context, account *account, amount func() int) {
 	select {
-	case account.turn <- struct{}{}:
-		defer func() { <-account.turn }()
+	case account.lock <- struct{}{}:
+		defer func() { <-account.lock }()
 	default:
-		return // a turn has come
+		return // a turn has arrived
 	}
 	allocator.mutex.Lock()
-	unspent := spare()
+	tokens := amount()
 	allocator.mutex.Unlock()
-	if unspent == 0 {
+	if tokens == 0 {
 		return
 	}
-	err := allocator.write(ctx, account, -unspent)
+	err := allocator.writeRecord(ctx, account, -tokens)
 	var conflict *bvplatform.ConflictError
 	if err != nil && !errors.As(err, &conflict) {
-		allocator.log.WithField("program", account.program).WithError(err).Debug("unspent tokens not given back")
+		allocator.log.WithField("program", account.program).WithError(err).Debug("unspent tokens not returned")
 	}
 }
 
-// ReleaseUnspent gives back all that lies unspent here, before a planned stop: what a
-// host holds when it ends counts as spent, and programs whose next turns come
-// through other hosts would be told that their budgets are spent. It goes on
-// until ctx ends or all is given back.
+// ReleaseUnspent returns all unspent tokens here before a planned stop: tokens that a host
+// holds when it stops count as spent, and programs whose next turns arrive at other hosts
+// would be refused as over budget. It ends when ctx ends or all tokens are returned.
 func (allocator *Allocator) ReleaseUnspent(ctx context.Context) {
 	group, ctx := errgroup.WithContext(ctx)
-	group.SetLimit(tidyWrites)
-	for _, account := range allocator.recent() {
-		group.Go(func() error { allocator.giveBack(ctx, account, account.unspent); return nil })
+	group.SetLimit(maxConcurrentWrites)
+	for _, account := range allocator.recentAccounts() {
+		group.Go(func() error { allocator.returnTokens(ctx, account, account.unspentTokens); return nil })
 	}
 	_ = group.Wait() // the functions return no error
 }
 
-// underWay is how long after its last turn here a program may still have turns
-// elsewhere: the pauses of the users' programs are shorter by far.
-const underWay = 5 * bvclock.Second
+// activeTime is how long after its last turn here a program may still have turns elsewhere.
+// The pauses of the users' programs are far shorter.
+const activeTime = 5 * bvclock.Second
 
-// recent returns the accounts of programs that may be under way.
-func (allocator *Allocator) recent() []*account {
+// recentAccounts returns the accounts with unspent tokens of programs that may still run.
+func (allocator *Allocator) recentAccounts() []*account {
 	now := allocator.clock.Now()
 	allocator.mutex.Lock()
 	defer allocator.mutex.Unlock()
 	var recent []*account
 	for _, account := range allocator.accounts {
-		if now.Sub(account.usedAt) < underWay && account.unspent() > 0 {
+		if now.Sub(account.lastUsed) < activeTime && account.unspentTokens() > 0 {
 			recent = append(recent, account)
 		}
 	}
 	return recent
 }
 
-// remove deletes a row that nobody has changed since this host last did.
-func (allocator *Allocator) remove(ctx context.Context, account *account) {
+// removeRow removes a row unless another host has changed it since this host last did.
+func (allocator *Allocator) removeRow(ctx context.Context, account *account) {
 	if !account.known || account.version == 0 {
 		return
 	}
@@ -114,17 +115,17 @@
 	})
 	var conflict *bvplatform.ConflictError
 	if err != nil && !errors.As(err, &conflict) {
-		allocator.log.WithField("program", account.program).WithError(err).Debug("row not removed; the sweep finds it")
+		allocator.log.WithField("program", account.program).WithError(err).Debug("row not removed; the sweep will remove it")
 	}
 }
 
-// Sweep removes expired rows of programs whose last host died, in a part that is
-// drawn at random.
+// Sweep removes expired rows of programs whose last host failed, in a shard drawn at
+// random.
 func (allocator *Allocator) Sweep(ctx context.Context) (int, error) {
 	now := time.Now().Unix()
 	prefix := fmt.Sprintf("budget/%02x/", rand.IntN(shards))
 	return bvplatform.Sweep(ctx, allocator.store, prefix, func(row bvplatform.Row) bool {
-		record, err := decode(row.Value)
+		record, err := decodeRecord(row.Value)
 		return err == nil && record.Expires < now
 	})
 }
--- a/bvbudget/reservation.go
+++ b/bvbudget/reservation.go
@@ -1,31 +1,31 @@
 package bvbudget
 
-// Reservation is what one turn may spend. It is not safe for concurrent use.
+// Reservation holds the tokens that one turn may spend. It is not safe for concurrent use.
 type Reservation struct {
 	allocator *Allocator
 	account   *account
-	left      int
+	remaining int
 }
 
-// Spend counts tokens that are about to be handed to the caller. It reports
-// whether the reservation held them; if not, they must not be handed on.
+// Spend counts tokens that are about to be delivered to the caller. It reports whether the
+// reservation covers them; if not, they must not be delivered.
 func (reservation *Reservation) Spend(tokens int) bool {
-	if tokens > reservation.left {
+	if tokens > reservation.remaining {
 		return false
 	}
-	reservation.left -= tokens
+	reservation.remaining -= tokens
 	reservation.allocator.mutex.Lock()
 	defer reservation.allocator.mutex.Unlock()
-	reservation.account.open -= tokens
+	reservation.account.reserved -= tokens
 	return true
 }
 
-// Close gives back what the turn did not spend.
+// Close returns the tokens that the turn did not spend to the account.
 func (reservation *Reservation) Close() {
 	reservation.allocator.mutex.Lock()
 	defer reservation.allocator.mutex.Unlock()
-	reservation.account.open -= reservation.left
-	reservation.account.free += reservation.left
-	reservation.account.usedAt = reservation.allocator.clock.Now()
-	reservation.left = 0
+	reservation.account.reserved -= reservation.remaining
+	reservation.account.free += reservation.remaining
+	reservation.account.lastUsed = reservation.allocator.clock.Now()
+	reservation.remaining = 0
 }
--- a/bvbudget/row.go
+++ b/bvbudget/row.go
@@ -16,8 +16,8 @@
 	return fmt.Sprintf("budget/%02x/%s", xxhash.Sum64String(account.program)%shards, account.program)
 }
 
-// read gets the record where it is not known; it reports whether it did.
-func (allocator *Allocator) read(ctx context.Context, account *account) (bool, error) {
+// readRecord reads the record unless it is known. It reports whether it did.
+func (allocator *Allocator) readRecord(ctx context.Context, account *account) (bool, error) {
 	allocator.mutex.Lock()
 	known := account.known
 	allocator.mutex.Unlock()
@@ -28,38 +28,37 @@
 	if err != nil {
 		return false, err
 	}
-	return true, allocator.learn(account, rows[0])
+	return true, allocator.applyRow(account, rows[0])
 }
 
-func (allocator *Allocator) forget(account *account) {
+func (allocator *Allocator) invalidateRecord(account *account) {
 	allocator.mutex.Lock()
 	defer allocator.mutex.Unlock()
 	account.known = false
 }
 
-func (allocator *Allocator) learn(account *account, row bvplatform.Row) error {
-	record, err := decode(row.Value)
+func (allocator *Allocator) applyRow(account *account, row bvplatform.Row) error {
+	record, err := decodeRecord(row.Value)
 	if err != nil {
 		return err
 	}
 	allocator.mutex.Lock()
 	defer allocator.mutex.Unlock()
-	account.learn(allocator.host, record, row.Version)
+	account.applyRecord(allocator.incarnation, record, row.Version)
 	return nil
 }
 
-// write changes this host's entry in the record, if nobody else has changed
-// the record. A rise is credited when the store has confirmed it; what a fall
-// gives back is taken off before it is sent, and credited again only when it
-// surely was not carried out.
-func (allocator *Allocator) write(ctx context.Context, account *account, change int) error {
+// writeRecord changes this host's entry in the record, unless another host has changed the
+// record. An increase is credited when the store has confirmed it. A decrease is deducted
+// before it is sent, and credited again only if it certainly was not carried out.
+func (allocator *Allocator) writeRecord(ctx context.Context, account *account, change int) error {
 	allocator.mutex.Lock()
 	if change < 0 {
 		account.free += change
 		account.credited += change
 	}
-	record := account.record.with(allocator.host, account.credited+max(change, 0))
-	record.Expires = time.Now().Unix() + int64((account.retain+forgetAfter)/bvclock.Second)
+	record := account.record.withEntry(allocator.incarnation, account.credited+max(change, 0))
+	record.Expires = time.Now().Unix() + int64((account.retain+expiryMargin)/bvclock.Second)
 	version := account.version
 	allocator.writes++
 	allocator.mutex.Unlock()
@@ -67,24 +66,24 @@
 		Checks: []bvplatform.Check{{Key: account.key(), Version: version}},
 		Puts:   []bvplatform.Put{{Key: account.key(), Value: record.encode()}},
 	})
-	return allocator.wrote(account, change, record, newVersion, err)
+	return allocator.finishWrite(account, change, record, newVersion, err)
 }
 
-func (allocator *Allocator) wrote(account *account, change int, record Record, version int64, err error) error {
+func (allocator *Allocator) finishWrite(account *account, change int, record Record, version int64, err error) error {
 	var conflict *bvplatform.ConflictError
 	allocator.mutex.Lock()
 	defer allocator.mutex.Unlock()
 	switch {
 	case err == nil:
-		account.record, account.version, account.known, account.doubt = record, version, true, false
+		account.record, account.version, account.known, account.writeUncertain = record, version, true, false
 		if change > 0 {
 			account.credited += change
 			account.free += change
-			allocator.begun = append(allocator.begun, xxhash.Sum64String(account.program))
+			allocator.reservedPrograms = append(allocator.reservedPrograms, xxhash.Sum64String(account.program))
 		}
 		return nil
 	case errors.Is(err, bvplatform.ErrUnknown):
-		account.known, account.doubt = false, true
+		account.known, account.writeUncertain = false, true
 		return err
 	case change < 0:
 		account.free -= change
@@ -94,10 +93,10 @@
 	if !errors.As(err, &conflict) || len(conflict.Rows) != 1 {
 		return err
 	}
-	current, unreadable := decode(conflict.Rows[0].Value)
-	if unreadable != nil {
-		return errors.Join(err, unreadable)
+	current, decodeErr := decodeRecord(conflict.Rows[0].Value)
+	if decodeErr != nil {
+		return errors.Join(err, decodeErr)
 	}
-	account.learn(allocator.host, current, conflict.Rows[0].Version)
+	account.applyRecord(allocator.incarnation, current, conflict.Rows[0].Version)
 	return err
 }
