--- a/bvcommit/committer.go
+++ b/bvcommit/committer.go
@@ -146,7 +146,7 @@
 	return committer.writes
 }
 
-// MarkerKey is the key of the row that every transaction of this committer
+// MarkerKey returns the key of the row that every transaction of this committer
 // checks and writes.
 func (committer *Committer) MarkerKey() string {
 	return "commit/" + url.PathEscape(committer.host) + "/" + url.PathEscape(committer.incarnation)
--- a/bvhistory/chain.go
+++ b/bvhistory/chain.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// Chain is the conversation up to now, oldest turn first. The zero value is a new
-// conversation.
+// Chain is a conversation up to its last turn, oldest turn first. The zero value is an
+// empty conversation.
 type Chain []*Turn
 
 // Prompt returns the prompt for the engine: all previous inputs and outputs, followed
--- a/bvhistory/store.go
+++ b/bvhistory/store.go
@@ -78,7 +78,7 @@
 	Chain(ctx context.Context, program, turn string) Chain
 }
 
-// Store reads and writes turns. Make one with NewStore; it is safe for
+// Store reads and writes turns. Create it with NewStore; it is safe for
 // concurrent use.
 type Store struct {
 	platform bvplatform.Store
--- a/bvledger/head.go
+++ b/bvledger/head.go
@@ -11,7 +11,7 @@
 
 //go:generate stringer -type=State,onceState -linecomment -output=state_string.go
 
-// State is the state of a program's life cycle.
+// State is the stage of a program's life cycle.
 type State int
 
 // The states of a program.
