--- a/bvquota/account.go
+++ b/bvquota/account.go
@@ -8,118 +8,121 @@
 	"balsamvalve.example/bvclock"
 )
 
-// account is this host's copy of the bucket of one workspace.
+// account is this host's copy of one workspace's token bucket.
 type account struct {
-	cap      Cap
-	since    bvclock.Time // when this host first knew of the cap
-	size     float64      // requests that the bucket holds at most
-	level    float64      // that it holds; below 0 where hosts ran more
-	filledAt bvclock.Time
-	start    float64 // what the bucket holds at first, until it is added
-	spilled  float64 // what it gained lately while it was full
-	// part is a bucket of what this host may grant while most hosts are not heard.
-	part float64
-
-	average float64 // of the requests a second, as of rateAt
-	rateAt  bvclock.Time
-
-	count uint32         // requests of this host since its start
-	own   []bvclock.Time // of the last of them
-	told  map[uint64]told
-}
-
-// told is what another host last told.
-type told struct {
+	cap          Cap
+	createdAt    bvclock.Time // when this host first got the cap
+	size         float64      // capacity of the bucket, in requests
+	level        float64      // requests in the bucket; below 0 where hosts ran more
+	filledAt     bvclock.Time
+	initialLevel float64 // level at the start of this host, until it is added to level
+	overflow     float64 // requests that it gained recently while it was full
+	// minorityLevel is the level of a second bucket, of the requests that this host may
+	// grant while most hosts are unreachable.
+	minorityLevel float64
+
+	averageRate float64 // requests a second, as of averagedAt
+	averagedAt  bvclock.Time
+
+	count       uint32         // requests of this host since its start
+	ownRequests []bvclock.Time // times of the last of them
+	reports     map[uint64]report
+}
+
+// report is the count that another host last reported.
+type report struct {
 	count uint32
 	at    bvclock.Time
 }
 
-// newAccount returns a bucket that is empty but for what it holds at the start. Until
-// its workspace's rate is learnt, it counts as the cap's.
-func newAccount(now bvclock.Time, limit Cap, start, size float64) *account {
+// newAccount returns a bucket that is empty except for its initial level. Until the rate of
+// its workspace has been averaged, the rate counts as the cap's.
+func newAccount(now bvclock.Time, limit Cap, initialLevel, size float64) *account {
 	return &account{
-		cap: limit, since: now, size: size, part: size, start: start,
-		filledAt: now, average: limit.Rate, rateAt: now, told: make(map[uint64]told),
+		cap: limit, createdAt: now, size: size, minorityLevel: size, initialLevel: initialLevel,
+		filledAt: now, averageRate: limit.Rate, averagedAt: now, reports: make(map[uint64]report),
 	}
 }
 
-// fill adds what the bucket has gained since it was last looked at. The share is the part
-// of the cap that this group of hosts may take. What the bucket holds at the start comes
-// once most hosts are heard: it is meant for all of them.
+// fill adds the requests that the bucket has gained since it was last filled. The share is
+// the part of the cap that this group of hosts may grant. The initial level is added once
+// most hosts are reachable, since it is shared by all of them.
 func (account *account) fill(now bvclock.Time, share float64) {
 	gained := account.cap.Rate * max(seconds(now.Sub(account.filledAt)), 0)
 	account.filledAt = now
-	if share < minority {
-		account.part = min(account.part+gained*share, max(account.size*share, 1))
-		share = 1 // what the others leave is not known
+	if share < majorityShare {
+		account.minorityLevel = min(account.minorityLevel+gained*share, max(account.size*share, 1))
+		share = 1 // the other hosts' requests are unknown; minorityLevel limits the share
 	} else {
-		account.part = account.size
-		account.level += account.start
-		account.start = 0
+		account.minorityLevel = account.size
+		account.level += account.initialLevel
+		account.initialLevel = 0
 	}
 	account.level += gained * share
 	if over := account.level - account.size; over > 0 {
-		account.spilled = min(account.spilled+over, account.cap.Rate*seconds(spillWindow))
+		account.overflow = min(account.overflow+over, account.cap.Rate*seconds(overflowWindow))
 		account.level = account.size
 	}
 }
 
 // available returns how many requests may be granted.
-func (account *account) available() float64 { return min(account.level, account.part) }
-
-// needed is what the bucket must hold for a request. For one of a program under way it may
-// lack what it gains while the request is held.
-func (account *account) needed(fresh bool, share float64) float64 {
-	if fresh {
-		return max(newShare*account.size*share, 1)
+func (account *account) available() float64 { return min(account.level, account.minorityLevel) }
+
+// requiredLevel returns the level that the bucket must have for a request. A request of a
+// started program may be held for up to maxHold, so what the bucket gains meanwhile may be
+// missing.
+func (account *account) requiredLevel(newProgram bool, share float64) float64 {
+	if newProgram {
+		return max(reservedShare*account.size*share, 1)
 	}
-	return 1 - account.gain(share)*float64(holdTime)
+	return 1 - account.gainPerMs(share)*float64(maxHold)
 }
 
-// gain is what the bucket gains in a millisecond.
-func (account *account) gain(share float64) float64 {
+// gainPerMs returns the requests that the bucket gains in a millisecond.
+func (account *account) gainPerMs(share float64) float64 {
 	return account.cap.Rate * share / float64(bvclock.Second)
 }
 
-// hold is the time until the bucket holds a request.
-func (account *account) hold(share float64) bvclock.Duration {
+// holdDuration returns the time until the bucket contains a request.
+func (account *account) holdDuration(share float64) bvclock.Duration {
 	missing := 1 - account.available()
 	if missing <= 0 {
 		return 0
 	}
-	return bvclock.Duration(math.Ceil(missing / account.gain(share)))
+	return bvclock.Duration(math.Ceil(missing / account.gainPerMs(share)))
 }
 
-// spend takes requests from the bucket.
+// spend takes requests from the bucket and updates the average rate.
 func (account *account) spend(now bvclock.Time, requests uint32) {
 	account.level -= float64(requests)
-	account.average = account.rate(now) + float64(requests)/seconds(rateWindow)
-	account.rateAt = now
+	account.averageRate = account.currentRate(now) + float64(requests)/seconds(rateWindow)
+	account.averagedAt = now
 }
 
-// rate returns the requests a second of all hosts lately.
-func (account *account) rate(now bvclock.Time) float64 {
-	return account.average * decay(now.Sub(account.rateAt))
+// currentRate returns the recent requests a second of all hosts.
+func (account *account) currentRate(now bvclock.Time) float64 {
+	return account.averageRate * decay(now.Sub(account.averagedAt))
 }
 
-// take counts a request of this host, which is told for the given time.
-func (account *account) take(now bvclock.Time, window bvclock.Duration) {
+// recordOwn counts a request of this host, which is reported to other hosts for the given
+// time.
+func (account *account) recordOwn(now bvclock.Time, window bvclock.Duration) {
 	account.spend(now, 1)
-	account.part--
+	account.minorityLevel--
 	account.count++
-	account.own = append(account.ownRecent(now, window), now)
+	account.ownRequests = append(account.recentOwn(now, window), now)
 }
 
-// ownRecent returns the times of this host's requests that are still told.
-func (account *account) ownRecent(now bvclock.Time, window bvclock.Duration) []bvclock.Time {
+// recentOwn returns the times of this host's requests that are still reported.
+func (account *account) recentOwn(now bvclock.Time, window bvclock.Duration) []bvclock.Time {
 	since := now.Add(-window)
-	return slices.DeleteFunc(account.own, func(at bvclock.Time) bool { return at.Before(since) })
+	return slices.DeleteFunc(account.ownRequests, func(at bvclock.Time) bool { return at.Before(since) })
 }
 
-// ownSince returns how many requests this host has run since a time.
-func (account *account) ownSince(since bvclock.Time) int {
+// countOwnSince returns the number of requests that this host has run since a time.
+func (account *account) countOwnSince(since bvclock.Time) int {
 	count := 0
-	for _, at := range account.own {
+	for _, at := range account.ownRequests {
 		if !at.Before(since) {
 			count++
 		}
@@ -127,58 +130,59 @@
 	return count
 }
 
-func (account *account) use(now bvclock.Time, window bvclock.Duration) Usage {
-	account.own = account.ownRecent(now, window)
-	return Usage{Workspace: HashWorkspace(account.cap.Workspace), Count: account.count, Recent: uint32(len(account.own))}
+func (account *account) usage(now bvclock.Time, window bvclock.Duration) Usage {
+	account.ownRequests = account.recentOwn(now, window)
+	return Usage{Workspace: HashWorkspace(account.cap.Workspace), Count: account.count, Recent: uint32(len(account.ownRequests))}
 }
 
-// hear takes in what another host told, and for how long nothing had come from it beyond
-// what is usual. Of a host that is heard for the first time, only its last requests are
-// known not to be counted yet.
-func (account *account) hear(now bvclock.Time, share float64, host uint64, use Usage, late bvclock.Duration) {
-	before, known := account.told[host]
+// recordUsage counts the requests that another host reported. SilentFor is the time beyond
+// the usual interval during which nothing arrived from it. If it is the host's first report,
+// only its recent requests count: the others may have been counted before.
+func (account *account) recordUsage(now bvclock.Time, share float64, host uint64, usage Usage, silentFor bvclock.Duration) {
+	previous, known := account.reports[host]
 	if !known {
-		before.count = use.Count - use.Recent
+		previous.count = usage.Count - usage.Recent
 	}
-	fresh := int32(use.Count - before.count)
-	if fresh < 0 {
-		return // an older message, or a grant whose answer was lost
+	unreported := int32(usage.Count - previous.count)
+	if unreported < 0 {
+		return // an older message, or the answer to a grant was lost
 	}
-	account.told[host] = told{use.Count, now}
-	if fresh == 0 {
+	account.reports[host] = report{usage.Count, now}
+	if unreported == 0 {
 		return
 	}
 	account.fill(now, share)
-	account.spend(now, uint32(fresh))
-	account.level += account.unspill(float64(fresh), late)
+	account.spend(now, uint32(unreported))
+	account.level += account.reclaimOverflow(float64(unreported), silentFor)
 }
 
-// unspill returns what the bucket would have gained, had it been known in time that it was
-// not full. Without it, a host that was cut off for some seconds would take all that the
-// others ran meanwhile from the bucket at once, and refuse for as long.
-func (account *account) unspill(requests float64, late bvclock.Duration) float64 {
-	found := min(requests, account.spilled, account.cap.Rate*seconds(late))
-	account.spilled -= found
-	return found
+// reclaimOverflow returns the requests that the bucket would have gained if late reports had
+// arrived in time, when it only seemed full. Otherwise a host that was disconnected for some
+// seconds would take all that the others ran meanwhile from the bucket at once, and refuse
+// requests for as long.
+func (account *account) reclaimOverflow(requests float64, silentFor bvclock.Duration) float64 {
+	reclaimed := min(requests, account.overflow, account.cap.Rate*seconds(silentFor))
+	account.overflow -= reclaimed
+	return reclaimed
 }
 
-// grant counts a request of another host before that host tells of it.
-func (account *account) grant(now bvclock.Time, host uint64) {
+// recordGrant counts a request of another host before that host reports it.
+func (account *account) recordGrant(now bvclock.Time, host uint64) {
 	account.spend(now, 1)
-	account.part--
-	account.told[host] = told{account.told[host].count + 1, now}
+	account.minorityLevel--
+	account.reports[host] = report{account.reports[host].count + 1, now}
 }
 
-// wait is the time until the bucket holds what is needed, and a random part more.
-func (account *account) wait(needed, share float64) bvclock.Duration {
-	missing := max(needed-account.available(), 0)
-	gain := account.gain(share)
-	if missing >= gain*float64(mostWait) {
-		return mostWait + spread()
+// retryAfter returns the time until the bucket has the required level, plus a random delay.
+func (account *account) retryAfter(required, share float64) bvclock.Duration {
+	missing := max(required-account.available(), 0)
+	gain := account.gainPerMs(share)
+	if missing >= gain*float64(maxRetryAfter) {
+		return maxRetryAfter + randomRetryDelay()
 	}
-	return bvclock.Duration(missing/gain) + spread()
+	return bvclock.Duration(missing/gain) + randomRetryDelay()
 }
 
-func (account *account) forget(since bvclock.Time) {
-	maps.DeleteFunc(account.told, func(_ uint64, told told) bool { return told.at.Before(since) })
+func (account *account) dropReports(since bvclock.Time) {
+	maps.DeleteFunc(account.reports, func(_ uint64, last report) bool { return last.at.Before(since) })
 }
--- a/bvquota/bench_test.go
+++ b/bvquota/bench_test.go
@@ -15,7 +15,7 @@
 	return caps
 }
 
-// BenchmarkTake is what a request far from its cap pays.
+// BenchmarkTake measures the cost of a request that is far below its cap.
 func BenchmarkTake(b *testing.B) {
 	limiter := newLimiter(bvclock.Boot(), manyCaps(1700)...)
 	b.ReportAllocs()
@@ -24,8 +24,8 @@
 	}
 }
 
-// BenchmarkClaim is what an allocator pays for a request of another host.
-func BenchmarkClaim(b *testing.B) {
+// BenchmarkDecideClaim measures an allocator's cost of a request of another host.
+func BenchmarkDecideClaim(b *testing.B) {
 	limiter := newLimiter(bvclock.Boot(), manyCaps(1700)...)
 	use := Usage{Workspace: HashWorkspace("workspace-7")}
 	b.ReportAllocs()
@@ -34,8 +34,8 @@
 	}
 }
 
-// BenchmarkHear is what a host pays for one digest of another one, with 20 workspaces.
-func BenchmarkHear(b *testing.B) {
+// BenchmarkRecordUsage measures the cost of one digest of another host, with 20 workspaces.
+func BenchmarkRecordUsage(b *testing.B) {
 	for _, hosts := range []int{30, 100, 300, 730} {
 		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
 			limiter := newLimiter(bvclock.Boot(), manyCaps(1700)...)
--- a/bvquota/quota.go
+++ b/bvquota/quota.go
@@ -1,11 +1,11 @@
-// Package bvquota holds workspaces to their usage caps, over all hosts together.
+// Package bvquota enforces the usage caps of workspaces, over all hosts together.
 //
-// A cap is a token bucket: a rate, and a burst that may come at once. Each host keeps
-// a copy of every bucket and takes from its copy what it runs itself and what the
-// other hosts tell that they ran. While a bucket holds more than what may be unheard
-// of, a host takes from it without asking. Below that it asks the workspace's
-// allocator, a host on which all agree by rendezvous hashing; a claim carries the
-// asker's own count, so that the allocator's copy is exact for all who ask.
+// A cap is a token bucket: a rate, and a burst that may arrive at once. Each host keeps a
+// copy of every bucket and takes from its copy the requests that it runs itself and those
+// that the other hosts report. While a bucket holds more than the requests that may not
+// have been reported yet, a host grants requests without asking. Below that level it asks
+// the workspace's allocator, a host that all select by rendezvous hashing; a claim contains
+// the asking host's own count, so that the allocator's copy is exact for all hosts that ask.
 //
 // # Usage
 //
@@ -17,18 +17,18 @@
 //		// ask the allocator; its limiter answers with DecideClaim
 //		limiter.RecordGrant("piran")
 //	case bvquota.Refused:
-//		// come back after decision.Wait
+//		// retry after decision.Wait
 //	}
 //	usages := limiter.RecentUsage() // send it to the other hosts
 //	limiter.RecordUsage(host, usages)
 //
 // # Invariants
 //
-// No copy holds more than the burst and a part of the bounds' slack. A host that has just
-// started begins with another part of it, so that a loss of all hosts grants nothing
-// twice. Hosts that do not hear some of the others leave them their share of the cap. A
-// lost message makes a copy wrong until the next one, since counts are totals since a
-// host's start.
+// No copy holds more than the burst and a part of the bounds' slack. The copies of a host
+// that has just started hold only another part of the slack, so that a restart of all hosts
+// does not grant a second burst. Hosts that can't reach some of the others leave them their
+// share of the cap. A lost message makes a copy wrong only until the next one, since counts
+// are totals since a host's start.
 package bvquota
 
 import (
@@ -45,39 +45,41 @@
 //go:generate stringer -type=Outcome -linecomment -output=outcome_string.go
 
 const (
-	// leastTold is for how long at least hosts repeat the count of a workspace after its
-	// last request, and toldLags the same in times within which they hear of each other:
-	// the others must hear of it once, though one message is lost.
-	leastTold = bvclock.Second
-	toldLags  = 2
+	// minReportTime is the minimum time for which a host repeats the count of a workspace
+	// after its last request, and reportLags is the same as a multiple of the report lag:
+	// the other hosts must get the count once even if one message is lost.
+	minReportTime = bvclock.Second
+	reportLags    = 2
 	// rateWindow is the time over which a workspace's rate is averaged.
 	rateWindow = bvclock.Second
-	// forgetAfter is how long the count of another host is remembered after it was
-	// last told.
-	forgetAfter = bvclock.Minute
-	// startShare is the part of the bounds' slack that a bucket holds at the start
-	// of a host; marginShare, the part by which a bucket is larger than the burst, for
-	// requests that come unevenly. The rest is for what hosts hear of late.
-	startShare  = 0.25
-	marginShare = 0.25
-	// newShare is the part of a bucket that is kept for programs under way: a program
-	// that is refused midway has spent its requests in vain.
-	newShare = 0.5
-	// spillWindow bounds what is remembered of what a full bucket would have gained.
-	spillWindow = 10 * bvclock.Second
-	// mostWait is the longest time after which a refused caller is told to come back.
-	mostWait = 5 * bvclock.Second
-	// holdTime is the longest time for which a granted request may have to wait for the
-	// bucket: less than a caller would need to come back.
-	holdTime = 250 * bvclock.Millisecond
-	// returnSpread is the time over which the return of refused callers is spread,
-	// so that those of a workspace don't come back as one.
-	returnSpread = 400 * bvclock.Millisecond
-	// minority is the share of the hosts below which a group of hosts that hear each
-	// other counts what it grants by itself: another group may take the rest.
-	minority = 0.5
-	// unreachableShare is the share of a cap for hosts that are not heard, and may still be
-	// granting, that the others need not leave to them.
+	// reportRetention is how long the count of another host is retained after it was last
+	// reported.
+	reportRetention = bvclock.Minute
+	// initialShare is the part of the bounds' slack that a bucket holds at the start of a
+	// host; marginShare, the part by which a bucket is larger than the burst, for requests
+	// that arrive unevenly. The rest covers requests that are reported late.
+	initialShare = 0.25
+	marginShare  = 0.25
+	// reservedShare is the part of a bucket that is reserved for started programs: the
+	// earlier requests of a program that is refused midway are wasted.
+	reservedShare = 0.5
+	// overflowWindow bounds the recorded overflow of a full bucket to its gain in this
+	// time.
+	overflowWindow = 10 * bvclock.Second
+	// maxRetryAfter is the longest time, without the random delay, after which a refused
+	// caller should retry.
+	maxRetryAfter = 5 * bvclock.Second
+	// maxHold is the longest time for which a granted request may have to wait for the
+	// bucket: less than a caller would need to retry.
+	maxHold = 250 * bvclock.Millisecond
+	// retrySpread is the time over which retries of refused callers are spread, so that
+	// those of a workspace don't arrive at once.
+	retrySpread = 400 * bvclock.Millisecond
+	// majorityShare is the share of the hosts below which a group of hosts that reach each
+	// other limits its own grants to its share of the cap: another group may grant the rest.
+	majorityShare = 0.5
+	// unreachableShare is the share of a cap that a majority need not leave to the
+	// unreachable hosts, although these may still be granting requests.
 	unreachableShare = 0.05
 )
 
@@ -85,21 +87,22 @@
 type Cap struct {
 	Workspace string
 	Rate      float64 // requests a second
-	Burst     float64 // requests beyond the rate that may come at once
+	Burst     float64 // requests beyond the rate that may arrive at once
 }
 
-// Bounds say how exactly caps must be kept.
+// Bounds define how exactly caps must be enforced.
 type Bounds struct {
-	StartFull bool             // no host has run anything yet: buckets are full at the start
-	Window    bvclock.Duration // over any such time, requests are compared with the cap
-	OverRatio float64          // share of the cap that may be run beyond it
-	Slack     float64          // requests that may be run beyond that
+	StartFull bool             // buckets are full at the start, since no host has run a request yet
+	Window    bvclock.Duration // any period of this length is compared with the cap
+	OverRatio float64          // requests that may run beyond the cap, as a share of it
+	Slack     float64          // requests that may run beyond that
 }
 
-// Outcome is what is decided on a request.
+// Outcome is the result of a decision on a request.
 type Outcome int
 
-// The outcomes.
+// The outcomes. Ask means that the decision is left to the allocator; as an allocator's
+// answer, that the request is undecided.
 const (
 	Granted Outcome = iota // granted
 	Refused                // refused
@@ -109,19 +112,19 @@
 // Decision is the answer to a request.
 type Decision struct {
 	Outcome Outcome
-	// Wait is the time after which a granted request may run, and a refused one may find
-	// the bucket filled.
+	// Wait is the time after which a granted request may run, or a refused one should be
+	// retried.
 	Wait bvclock.Duration
 }
 
-// Usage is what a host tells of its requests of one workspace.
+// Usage is a host's report on its requests of one workspace.
 type Usage struct {
 	Workspace uint32 // hash of its name
 	Count     uint32 // requests since the host's start; it wraps
-	Recent    uint32 // of those, the last ones, which others may not have heard of
+	Recent    uint32 // of those, the last ones, which other hosts may not have counted yet
 }
 
-// HashWorkspace returns what a workspace is called between hosts.
+// HashWorkspace returns the hash that identifies a workspace between hosts.
 func HashWorkspace(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
 // Limiter holds the buckets of one host. Make one with New; it is safe for concurrent
@@ -130,28 +133,28 @@
 	clock  bvclock.Clock
 	bounds Bounds
 
-	mutex    sync.Mutex
-	accounts map[string]*account
-	byHash   map[uint32]*account
-	hosts    int                     // heard, this one included; 0: not known yet
-	share    float64                 // of the caps that this group of hosts may take
-	lag      bvclock.Duration        // within which the other hosts' requests are heard of
-	lastSeen map[uint64]bvclock.Time // other hosts
-	tidiedAt bvclock.Time
+	mutex          sync.Mutex
+	accounts       map[string]*account
+	byHash         map[uint32]*account
+	reachableHosts int                     // this one included; 0: unknown yet
+	groupShare     float64                 // of the caps that the reachable hosts may grant
+	reportLag      bvclock.Duration        // within which the other hosts' requests are reported
+	lastSeen       map[uint64]bvclock.Time // by other host
+	cleanedAt      bvclock.Time
 }
 
-// New returns a Limiter without caps. Until SetHosts is called, it can grant nothing by
-// itself.
+// New returns a Limiter without caps. Until SetHosts is called, Take grants no request of a
+// workspace with a cap.
 func New(clock bvclock.Clock, bounds Bounds) *Limiter {
 	return &Limiter{
-		clock: clock, bounds: bounds, lag: bounds.Window,
+		clock: clock, bounds: bounds, reportLag: bounds.Window,
 		accounts: make(map[string]*account), byHash: make(map[uint32]*account),
 		lastSeen: make(map[uint64]bvclock.Time),
 	}
 }
 
-// SetCaps takes over the caps of the desired state. What was taken from a bucket
-// stays taken.
+// SetCaps sets the caps of the desired state. It does not refill the buckets of workspaces
+// that had a cap before.
 func (limiter *Limiter) SetCaps(caps []Cap) {
 	now := limiter.clock.Now()
 	limiter.mutex.Lock()
@@ -161,127 +164,130 @@
 	for _, limit := range caps {
 		found := limiter.accounts[limit.Workspace]
 		if found == nil {
-			found = newAccount(now, limit, limiter.start(limit), limiter.size(limit))
+			found = newAccount(now, limit, limiter.initialLevel(limit), limiter.bucketSize(limit))
 		}
-		found.fill(now, limiter.share)
-		found.cap, found.size = limit, limiter.size(limit)
-		found.fill(now, limiter.share)
+		found.fill(now, limiter.groupShare)
+		found.cap, found.size = limit, limiter.bucketSize(limit)
+		found.fill(now, limiter.groupShare)
 		accounts[limit.Workspace] = found
 		byHash[HashWorkspace(limit.Workspace)] = found
 	}
 	limiter.accounts, limiter.byHash = accounts, byHash
 }
 
-// size is how much a bucket holds. One that holds less than a request would never grant
-// any.
-func (limiter *Limiter) size(limit Cap) float64 {
+// bucketSize returns the capacity of a bucket: at least one request, since a smaller bucket
+// would never grant any.
+func (limiter *Limiter) bucketSize(limit Cap) float64 {
 	return max(limit.Burst+marginShare*limiter.slack(limit), 1)
 }
 
-// start is what a bucket holds when this host starts.
-func (limiter *Limiter) start(limit Cap) float64 {
+// initialLevel returns the level of a bucket when this host starts.
+func (limiter *Limiter) initialLevel(limit Cap) float64 {
 	if limiter.bounds.StartFull {
-		return limiter.size(limit)
+		return limiter.bucketSize(limit)
 	}
-	return startShare * limiter.slack(limit)
+	return initialShare * limiter.slack(limit)
 }
 
-// slack is how many requests may be run beyond a cap in a window.
+// slack returns how many requests may run beyond a cap in a window.
 func (limiter *Limiter) slack(limit Cap) float64 {
-	whole := limit.Rate*seconds(limiter.bounds.Window) + limit.Burst
-	return limiter.bounds.Slack + limiter.bounds.OverRatio*whole
+	allowed := limit.Rate*seconds(limiter.bounds.Window) + limit.Burst
+	return limiter.bounds.Slack + limiter.bounds.OverRatio*allowed
 }
 
-// SetHosts takes over how many hosts are listed and heard, this one included, and
-// within which time what they run is heard of here.
-func (limiter *Limiter) SetHosts(listed, heard int, lag bvclock.Duration) {
+// SetHosts sets how many hosts are listed and reachable, this one included, and the lag
+// within which their requests are reported here.
+func (limiter *Limiter) SetHosts(listed, reachable int, lag bvclock.Duration) {
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
-	limiter.hosts, limiter.lag = max(heard, 1), lag
-	limiter.share = float64(heard) / float64(max(listed, 1))
-	if limiter.share >= minority {
-		limiter.share = min(limiter.share+unreachableShare, 1)
+	limiter.reachableHosts, limiter.reportLag = max(reachable, 1), lag
+	limiter.groupShare = float64(reachable) / float64(max(listed, 1))
+	if limiter.groupShare >= majorityShare {
+		limiter.groupShare = min(limiter.groupShare+unreachableShare, 1)
 	}
 }
 
-// Request is what a limiter decides on.
+// Request describes a request to a limiter.
 type Request struct {
 	Workspace string
-	// Fresh marks the first request of a program. It is refused while the bucket holds
-	// little, since many more requests follow it.
+	// NewProgram marks the first request of a program. It is refused while the level of
+	// the bucket is low, since many more requests follow it.
 	NewProgram bool
-	// Standby marks a request that the allocator of its workspace did not answer. What
-	// that one granted lately may not have been heard of, and is left over.
+	// FromStandby marks a request that the allocator of its workspace did not answer, so
+	// that a standby decides. The allocator's recent grants may not have been reported
+	// yet, so the standby leaves a reserve for them.
 	FromStandby bool
 }
 
-// Take decides on a request. A workspace without a cap is granted all.
+// Take decides on a request. All requests of a workspace without a cap are granted.
 func (limiter *Limiter) Take(request Request) Decision {
 	now := limiter.clock.Now()
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
-	account := limiter.filled(now, request.Workspace)
+	account := limiter.filledAccount(now, request.Workspace)
 	if account == nil {
 		return Decision{}
 	}
-	needed := account.needed(request.NewProgram, limiter.share)
+	required := account.requiredLevel(request.NewProgram, limiter.groupShare)
 	switch {
-	case limiter.hosts == 0 || limiter.justStarted(now, account):
+	case limiter.reachableHosts == 0 || limiter.isStarting(now, account):
 		return Decision{Outcome: Ask}
-	case account.available() < needed:
-		return limiter.lacking(account, needed)
+	case account.available() < required:
+		return limiter.decideShortfall(account, required)
 	case limiter.mustAsk(now, account):
 		return Decision{Outcome: Ask}
 	}
-	account.take(now, limiter.toldWindow())
+	account.recordOwn(now, limiter.reportWindow())
 	return Decision{}
 }
 
-// justStarted reports whether what the others have run is not known here yet.
-func (limiter *Limiter) justStarted(now bvclock.Time, account *account) bool {
-	return !limiter.bounds.StartFull && now.Sub(account.since) < limiter.bounds.Window
+// isStarting reports whether the other hosts' requests may not have been reported yet since
+// this host got the cap.
+func (limiter *Limiter) isStarting(now bvclock.Time, account *account) bool {
+	return !limiter.bounds.StartFull && now.Sub(account.createdAt) < limiter.bounds.Window
 }
 
-// mustAsk reports whether a bucket may hold less than this host knows: requests of
-// other hosts are heard of late, and all of them may take what is left at once.
+// mustAsk reports whether a bucket may hold less than this host's copy: requests of other
+// hosts are reported late, and all hosts may take the rest of the bucket at once.
 func (limiter *Limiter) mustAsk(now bvclock.Time, account *account) bool {
-	unheard := max(account.rate(now), account.cap.Rate) * seconds(limiter.lag)
-	if account.available() < 1+unheard {
+	unreported := max(account.currentRate(now), account.cap.Rate) * seconds(limiter.reportLag)
+	if account.available() < 1+unreported {
 		return true
 	}
-	own := account.ownSince(now.Add(-limiter.lag))
-	return float64(own) >= max(1, account.size/float64(limiter.hosts))
+	own := account.countOwnSince(now.Add(-limiter.reportLag))
+	return float64(own) >= max(1, account.size/float64(limiter.reachableHosts))
 }
 
-// RecordGrant notes that the allocator granted a request of this host.
+// RecordGrant records that the allocator granted a request of this host.
 func (limiter *Limiter) RecordGrant(workspace string) {
 	now := limiter.clock.Now()
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
-	if account := limiter.filled(now, workspace); account != nil {
-		account.take(now, limiter.toldWindow())
+	if account := limiter.filledAccount(now, workspace); account != nil {
+		account.recordOwn(now, limiter.reportWindow())
 	}
 }
 
-// lacking decides on a request for which the bucket holds too little: that is no refusal
-// where it is only not known yet whether what it holds at the start is still there.
-func (limiter *Limiter) lacking(account *account, needed float64) Decision {
-	if account.available()+account.start >= needed {
+// decideShortfall decides on a request for which the level is too low. The request is not
+// refused if the initial level, which is not added yet, would suffice.
+func (limiter *Limiter) decideShortfall(account *account, required float64) Decision {
+	if account.available()+account.initialLevel >= required {
 		return Decision{Outcome: Ask}
 	}
-	return Decision{Outcome: Refused, Wait: account.wait(needed, limiter.share)}
+	return Decision{Outcome: Refused, Wait: account.retryAfter(required, limiter.groupShare)}
 }
 
-// filled returns the account of a workspace as it is now, or nil where it has no cap.
-func (limiter *Limiter) filled(now bvclock.Time, workspace string) *account {
+// filledAccount returns the account of a workspace, filled up to now, or nil if it has no
+// cap.
+func (limiter *Limiter) filledAccount(now bvclock.Time, workspace string) *account {
 	account := limiter.accounts[workspace]
 	if account != nil {
-		account.fill(now, limiter.share)
+		account.fill(now, limiter.groupShare)
 	}
 	return account
 }
 
-// OwnUsage returns what this host has run of a workspace, to go with a claim.
+// OwnUsage returns this host's usage of a workspace, which is sent with a claim.
 func (limiter *Limiter) OwnUsage(workspace string) Usage {
 	now := limiter.clock.Now()
 	limiter.mutex.Lock()
@@ -290,44 +296,45 @@
 	if account == nil {
 		return Usage{Workspace: HashWorkspace(workspace)}
 	}
-	return account.use(now, limiter.toldWindow())
+	return account.usage(now, limiter.reportWindow())
 }
 
-// toldWindow is for how long the count of a workspace is repeated after its last request.
-func (limiter *Limiter) toldWindow() bvclock.Duration {
-	return max(leastTold, min(toldLags*limiter.lag, 2*limiter.bounds.Window))
+// reportWindow returns how long the count of a workspace is repeated after its last request.
+func (limiter *Limiter) reportWindow() bvclock.Duration {
+	return max(minReportTime, min(reportLags*limiter.reportLag, 2*limiter.bounds.Window))
 }
 
-// DecideClaim decides, as the allocator, on a request of another host, which tells what it
-// has run so far.
-func (limiter *Limiter) DecideClaim(host uint64, use Usage, request Request) Decision {
+// DecideClaim decides, as the allocator, on a request of another host, which sends its own
+// usage with it.
+func (limiter *Limiter) DecideClaim(host uint64, usage Usage, request Request) Decision {
 	now := limiter.clock.Now()
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
-	account := limiter.byHash[use.Workspace]
+	account := limiter.byHash[usage.Workspace]
 	if account == nil {
-		return Decision{Outcome: Ask} // a version of the desired state that this host lacks
+		return Decision{Outcome: Ask} // the cap is in a version of the desired state that this host lacks
 	}
-	account.fill(now, limiter.share)
-	account.hear(now, limiter.share, host, use, 0)
-	decision := limiter.decide(account, request)
+	account.fill(now, limiter.groupShare)
+	account.recordUsage(now, limiter.groupShare, host, usage, 0)
+	decision := limiter.decideAsAllocator(account, request)
 	if decision.Outcome == Granted {
-		account.grant(now, host)
+		account.recordGrant(now, host)
 	}
 	return decision
 }
 
-// decide decides as an allocator; Ask leaves the request undecided. So does a standby that
-// may not have heard of the last grants.
-func (limiter *Limiter) decide(account *account, request Request) Decision {
-	needed := account.needed(request.NewProgram, limiter.share)
-	if account.available() < needed {
-		return limiter.lacking(account, needed)
+// decideAsAllocator decides on a request as its allocator; Ask leaves it undecided. A
+// standby leaves a request undecided if the allocator's last grants, which may not have been
+// reported yet, could have used up the bucket.
+func (limiter *Limiter) decideAsAllocator(account *account, request Request) Decision {
+	required := account.requiredLevel(request.NewProgram, limiter.groupShare)
+	if account.available() < required {
+		return limiter.decideShortfall(account, required)
 	}
-	if request.FromStandby && account.available() < needed+account.cap.Rate*seconds(limiter.lag) {
+	if request.FromStandby && account.available() < required+account.cap.Rate*seconds(limiter.reportLag) {
 		return Decision{Outcome: Ask}
 	}
-	return Decision{Wait: account.hold(limiter.share)}
+	return Decision{Wait: account.holdDuration(limiter.groupShare)}
 }
 
 // TakeAsAllocator decides on a request of this host where it is the allocator itself.
@@ -335,66 +342,67 @@
 	now := limiter.clock.Now()
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
-	account := limiter.filled(now, request.Workspace)
+	account := limiter.filledAccount(now, request.Workspace)
 	if account == nil {
 		return Decision{}
 	}
-	decision := limiter.decide(account, request)
+	decision := limiter.decideAsAllocator(account, request)
 	if decision.Outcome == Granted {
-		account.take(now, limiter.toldWindow())
+		account.recordOwn(now, limiter.reportWindow())
 	}
 	return decision
 }
 
-// RecentUsage returns what this host has run lately, to be told to the others.
+// RecentUsage returns this host's recent usage, to be reported to the other hosts.
 func (limiter *Limiter) RecentUsage() []Usage {
 	now := limiter.clock.Now()
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
-	limiter.tidy(now)
-	window := limiter.toldWindow()
-	var uses []Usage
+	limiter.dropOldReports(now)
+	window := limiter.reportWindow()
+	var usages []Usage
 	for _, account := range limiter.accounts {
-		if use := account.use(now, window); use.Recent > 0 {
-			uses = append(uses, use)
+		if usage := account.usage(now, window); usage.Recent > 0 {
+			usages = append(usages, usage)
 		}
 	}
-	return uses
+	return usages
 }
 
-// RecordUsage takes in what another host told; it is to be called for each digest, also for one
-// that tells of no request.
-func (limiter *Limiter) RecordUsage(host uint64, uses []Usage) {
+// RecordUsage records another host's report. It must be called for each digest, also for
+// one without usage.
+func (limiter *Limiter) RecordUsage(host uint64, usages []Usage) {
 	now := limiter.clock.Now()
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
-	late := limiter.lateness(now, host)
+	silentFor := limiter.silentFor(now, host)
 	limiter.lastSeen[host] = now
-	for _, use := range uses {
-		if account := limiter.byHash[use.Workspace]; account != nil {
-			account.hear(now, limiter.share, host, use, late)
+	for _, usage := range usages {
+		if account := limiter.byHash[usage.Workspace]; account != nil {
+			account.recordUsage(now, limiter.groupShare, host, usage, silentFor)
 		}
 	}
 }
 
-// lateness is for how long nothing has come from a host beyond what is usual.
-func (limiter *Limiter) lateness(now bvclock.Time, host uint64) bvclock.Duration {
+// silentFor returns for how long nothing has arrived from a host, beyond the usual interval
+// of two lags.
+func (limiter *Limiter) silentFor(now bvclock.Time, host uint64) bvclock.Duration {
 	lastSeen, known := limiter.lastSeen[host]
 	if !known {
 		return 0
 	}
-	return max(now.Sub(lastSeen)-2*limiter.lag, 0)
+	return max(now.Sub(lastSeen)-2*limiter.reportLag, 0)
 }
 
-// tidy forgets hosts that have told nothing of a workspace for long.
-func (limiter *Limiter) tidy(now bvclock.Time) {
-	if now.Sub(limiter.tidiedAt) < forgetAfter {
+// dropOldReports drops counts that were not reported within reportRetention.
+func (limiter *Limiter) dropOldReports(now bvclock.Time) {
+	if now.Sub(limiter.cleanedAt) < reportRetention {
 		return
 	}
-	limiter.tidiedAt = now
-	maps.DeleteFunc(limiter.lastSeen, func(_ uint64, at bvclock.Time) bool { return now.Sub(at) > forgetAfter })
+	limiter.cleanedAt = now
+	maps.DeleteFunc(limiter.lastSeen, func(_ uint64, at bvclock.Time) bool { return now.Sub(at) > reportRetention })
 	for _, account := range limiter.accounts {
-		account.forget(now.Add(-forgetAfter))
+		account.dropReports(now.Add(-reportRetention))
 	}
 }
 
@@ -402,10 +410,10 @@
 	return float64(duration) / float64(bvclock.Second)
 }
 
-// spread draws a time up to returnSpread.
-func spread() bvclock.Duration { return bvclock.Duration(rand.Int64N(int64(returnSpread))) }
+// randomRetryDelay returns a random time below retrySpread.
+func randomRetryDelay() bvclock.Duration { return bvclock.Duration(rand.Int64N(int64(retrySpread))) }
 
-// decay is the factor by which an average over rateWindow fades in a time.
+// decay returns the factor by which an average over rateWindow decays in a time.
 func decay(elapsed bvclock.Duration) float64 {
 	return math.Exp(-float64(elapsed) / float64(rateWindow))
 }
