--- a/bvanswer/answer.go
+++ b/bvanswer/answer.go
@@ -1,10 +1,10 @@
-// Package bvanswer is the form in which answers travel between hosts and are
-// kept in the platform's table.
+// Package bvanswer encodes answers for transport between hosts and for the platform's
+// table.
 //
 // # Usage
 //
-//	kept, err := bvanswer.Encode(bvanswer.Model{Text: "hello"})
-//	model, err := bvanswer.DecodeModel(kept)
+//	encoded, err := bvanswer.Encode(bvanswer.Model{Text: "hello"})
+//	model, err := bvanswer.DecodeModel(encoded)
 package bvanswer
 
 import (
@@ -29,28 +29,28 @@
 	Body        []byte `json:"body"`
 }
 
-// Encode returns the form that is kept.
+// Encode returns an answer in encoded form.
 func Encode[A Model | Service](answer A) ([]byte, error) {
-	kept, err := json.Marshal(answer)
+	encoded, err := json.Marshal(answer)
 	if err != nil {
 		return nil, fmt.Errorf("answer: encode: %w", err)
 	}
-	return kept, nil
+	return encoded, nil
 }
 
-// DecodeModel reads a kept answer of a model call.
-func DecodeModel(kept []byte) (Model, error) {
-	return decode[Model](kept)
+// DecodeModel decodes the answer of a model call.
+func DecodeModel(encoded []byte) (Model, error) {
+	return decode[Model](encoded)
 }
 
-// DecodeService reads a kept answer of a service call.
-func DecodeService(kept []byte) (Service, error) {
-	return decode[Service](kept)
+// DecodeService decodes the answer of a service call.
+func DecodeService(encoded []byte) (Service, error) {
+	return decode[Service](encoded)
 }
 
-func decode[A any](kept []byte) (A, error) {
+func decode[A any](encoded []byte) (A, error) {
 	var answer A
-	if err := json.Unmarshal(kept, &answer); err != nil {
+	if err := json.Unmarshal(encoded, &answer); err != nil {
 		return answer, fmt.Errorf("answer: decode: %w", err)
 	}
 	return answer, nil
--- a/bventry/entry.go
+++ b/bventry/entry.go
@@ -1,5 +1,5 @@
-// Package bventry takes a call to the owner of its program and brings back the
-// answer, whatever happens to owners on the way.
+// Package bventry forwards a call to the owner of its program and returns the answer, also
+// when owners fail or become unreachable meanwhile.
 //
 // # Usage
 //
@@ -24,11 +24,11 @@
 	"balsamvalve.example/bvverdict"
 )
 
-// hostsPerCall bounds how many hosts are asked to own one call's program.
-const hostsPerCall = 5
+// maxHostsPerCall bounds how many hosts one call is sent to as possible owners.
+const maxHostsPerCall = 5
 
-// retryAfterNoOwner is told when no host took the program: the platform's list
-// shows a lost host within this time.
+// retryAfterNoOwner is the time after which a caller should retry when no host accepted
+// the program: within it, the platform's list no longer has a host that failed.
 const retryAfterNoOwner = 2 * bvclock.Second
 
 // Owner runs calls of the programs that this host owns.
@@ -38,45 +38,45 @@
 	EndProgram(ctx context.Context, member, program string) error
 }
 
-// Entry finds owners. It keeps nothing between calls.
+// Entry forwards calls to owners. It keeps no state between calls.
 type Entry struct {
-	clock bvclock.Clock
-	view  *bvhost.View
-	peers *bvpeer.Pool
-	owner Owner
-	count Counter
-	log   logrus.FieldLogger
+	clock   bvclock.Clock
+	view    *bvhost.View
+	peers   *bvpeer.Pool
+	owner   Owner
+	counter Counter
+	log     logrus.FieldLogger
 }
 
-// Counter counts how often something happened.
+// Counter counts events by name.
 type Counter interface {
 	Add(name string, delta int64)
 }
 
-// New returns an entry; owner is this host's own.
-func New(clock bvclock.Clock, view *bvhost.View, peers *bvpeer.Pool, owner Owner, count Counter, log logrus.FieldLogger) *Entry {
-	return &Entry{clock: clock, view: view, peers: peers, owner: owner, count: count, log: log}
+// New returns an entry; owner runs the calls of programs that this host owns.
+func New(clock bvclock.Clock, view *bvhost.View, peers *bvpeer.Pool, owner Owner, counter Counter, log logrus.FieldLogger) *Entry {
+	return &Entry{clock: clock, view: view, peers: peers, owner: owner, counter: counter, log: log}
 }
 
-// Run carries a call to its owner and hands each token and the final answer
-// to emit, each once and in order. An owner that is lost is replaced: asking
-// another one is safe for every call, because an owner commits its claim, and
-// the record of an unrepeatable request, before it sends anything.
+// Run forwards a call to its owner and passes each token and the final answer to emit,
+// each once and in order. If an owner fails or becomes unreachable, the next candidate gets
+// the call. That is safe for every call, because an owner commits its claim, and the record
+// of an unrepeatable request, before it sends anything.
 func (entry *Entry) Run(ctx context.Context, call *bvpeer.Call, emit func(*bvpeer.CallEvent) error) error {
 	ctx, cancel := withDeadline(ctx, call)
 	defer cancel()
-	relay := &relay{call: call, emit: emit}
-	return entry.eachOwner(ctx, call.GetMember(), call.GetProgram(), func(ctx context.Context, host bvplatform.Host) error {
-		err := entry.runAt(ctx, host, relay)
-		relay.lost = relay.lost || mayHaveBegun(err)
+	forwarder := &forwarder{call: call, emit: emit}
+	return entry.tryCandidates(ctx, call.GetMember(), call.GetProgram(), func(ctx context.Context, host bvplatform.Host) error {
+		err := entry.runAt(ctx, host, forwarder)
+		forwarder.resend = forwarder.resend || mayHaveBegun(err)
 		return err
 	})
 }
 
-// Fetch returns the kept answer of a request.
+// Fetch returns the persisted answer to a request.
 func (entry *Entry) Fetch(ctx context.Context, member, program, request string) ([]byte, error) {
 	var answer []byte
-	err := entry.eachOwner(ctx, member, program, func(ctx context.Context, host bvplatform.Host) (err error) {
+	err := entry.tryCandidates(ctx, member, program, func(ctx context.Context, host bvplatform.Host) (err error) {
 		answer, err = entry.fetchAt(ctx, host, member, program, request)
 		return err
 	})
@@ -85,18 +85,17 @@
 
 // EndProgram ends a program.
 func (entry *Entry) EndProgram(ctx context.Context, member, program string) error {
-	return entry.eachOwner(ctx, member, program, func(ctx context.Context, host bvplatform.Host) error {
-		return entry.endAt(ctx, host, member, program)
+	return entry.tryCandidates(ctx, member, program, func(ctx context.Context, host bvplatform.Host) error {
+		return entry.endProgramAt(ctx, host, member, program)
 	})
 }
 
-// deadlineGrace is what an owner gets beyond the caller's deadline to say
-// itself what became of the call; it knows more than the entry.
+// deadlineGrace is the time beyond the caller's deadline in which the owner may still
+// report the outcome itself; it knows more about the call than the entry.
 const deadlineGrace = 500 * bvclock.Millisecond
 
-// withDeadline bounds a call by its caller's deadline. An owner whose host
-// stalls, but still answers pings, would otherwise keep the caller waiting for
-// as long as it stalls.
+// withDeadline bounds a call by its caller's deadline. Otherwise an owner whose host
+// stalls, but still answers pings, would keep the caller waiting for as long as it stalls.
 func withDeadline(ctx context.Context, call *bvpeer.Call) (context.Context, context.CancelFunc) {
 	if call.GetDeadlineMs() <= 0 {
 		return context.WithCancel(ctx)
@@ -104,59 +103,64 @@
 	return context.WithTimeout(ctx, (bvclock.Duration(call.GetDeadlineMs()) + deadlineGrace).Std())
 }
 
-// ended says why a call was given up here. It may have run at its owner.
-func ended(ctx context.Context) error {
+// contextError returns the error of a call whose context ended here. The call may have run
+// at its owner.
+func contextError(ctx context.Context) error {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return bvverdict.New(bvverdict.MayHaveRun, bvverdict.DeadlinePassed, "the deadline passed before the owner answered").
 			WithRetryAfter(retryAfterNoOwner).WithCause(ctx.Err())
 	}
-	return bvverdict.New(bvverdict.MayHaveRun, bvverdict.Canceled, "the caller went away").WithCause(ctx.Err())
+	return bvverdict.New(bvverdict.MayHaveRun, bvverdict.Canceled, "the caller canceled the call").WithCause(ctx.Err())
 }
 
-// ProgramKey is the key by which the hosts that may own a program are ranked.
+// ProgramKey returns the rendezvous key by which the hosts that may own a program are
+// ranked.
 func ProgramKey(member, program string) string {
 	return "program/" + member + "/" + program
 }
 
-// lostError says that a host gave no final answer.
-type lostError struct{ cause error }
+// noAnswerError means that a host gave no final answer: it failed or was unreachable.
+type noAnswerError struct{ cause error }
 
-func (err *lostError) Error() string { return "host lost: " + err.cause.Error() }
-func (err *lostError) Unwrap() error { return err.cause }
+func (err *noAnswerError) Error() string {
+	return "no final answer from the host: " + err.cause.Error()
+}
+func (err *noAnswerError) Unwrap() error { return err.cause }
 
-// eachOwner asks the candidates for a program until one gives a final answer.
-func (entry *Entry) eachOwner(ctx context.Context, member, program string, ask func(context.Context, bvplatform.Host) error) error {
+// tryCandidates sends to the candidates for a program, one after the other, until one gives
+// a final answer.
+func (entry *Entry) tryCandidates(ctx context.Context, member, program string, send func(context.Context, bvplatform.Host) error) error {
 	candidates := entry.view.Candidates(entry.clock.Now(), ProgramKey(member, program))
-	var loss error
-	for _, host := range candidates[:min(len(candidates), hostsPerCall)] {
-		askContext, span := bvtrace.Start(ctx, "relay")
+	var lastFailure error
+	for _, host := range candidates[:min(len(candidates), maxHostsPerCall)] {
+		hostContext, span := bvtrace.Start(ctx, "relay")
 		span.SetProgram(member, program)
 		span.SetHost(host.Name)
-		err := ask(askContext, host)
+		err := send(hostContext, host)
 		span.End(err)
 		bvtrace.LogHop(ctx, entry.log, "owner asked", err, "owner", host.Name)
 		if err != nil && ctx.Err() != nil {
-			return ended(ctx)
+			return contextError(ctx)
 		}
-		if lost := new(lostError); errors.As(err, &lost) {
-			entry.distrust(host)
-			entry.count.Add("lost_owners", 1)
-			loss = err
+		if noAnswer := new(noAnswerError); errors.As(err, &noAnswer) {
+			entry.markUnreachable(host)
+			entry.counter.Add("lost_owners", 1)
+			lastFailure = err
 			continue
 		}
 		if isNotOwner(err) {
-			entry.count.Add("declined_calls", 1)
+			entry.counter.Add("declined_calls", 1)
 			if mayHaveBegun(err) {
-				loss = err
+				lastFailure = err
 			}
 			continue
 		}
 		return err
 	}
-	return noOwner(loss)
+	return noOwnerError(lastFailure)
 }
 
-func (entry *Entry) distrust(host bvplatform.Host) {
+func (entry *Entry) markUnreachable(host bvplatform.Host) {
 	if entry.view.MarkUnreachable(entry.clock.Now(), host.Name) {
 		entry.log.WithField("host", host.Name).Warn("host was lost during a call")
 	}
@@ -166,24 +170,24 @@
 	return err != nil && bvverdict.From(err).Code() == bvverdict.NotOwner
 }
 
-// mayHaveBegun reports whether the host that gave this error may have begun
-// the call: it was lost, or lost the program in the middle of the call.
+// mayHaveBegun reports whether the host that returned this error may have begun the call:
+// it gave no final answer, or lost ownership of the program during the call.
 func mayHaveBegun(err error) bool {
-	if lost := new(lostError); errors.As(err, &lost) {
+	if noAnswer := new(noAnswerError); errors.As(err, &noAnswer) {
 		return true
 	}
 	return isNotOwner(err) && bvverdict.Of(err) != bvverdict.NotRun
 }
 
-// noOwner is the final answer when every candidate was lost or declined. Where
-// one was lost, the call may have run there.
-func noOwner(loss error) error {
-	if loss != nil {
+// noOwnerError returns the final error when every candidate failed or declined. If one may
+// have begun the call, the call may have run there.
+func noOwnerError(lastFailure error) error {
+	if lastFailure != nil {
 		return bvverdict.New(bvverdict.MayHaveRun, bvverdict.Internal,
-			"the program's host was lost; send the same request again").
-			WithRetryAfter(retryAfterNoOwner).WithCause(loss)
+			"the program's host failed or became unreachable; send the same request again").
+			WithRetryAfter(retryAfterNoOwner).WithCause(lastFailure)
 	}
-	return bvverdict.Refuse(bvverdict.NotOwner, "no host takes the program now").
+	return bvverdict.Refuse(bvverdict.NotOwner, "no host accepts the program now").
 		WithRetryAfter(retryAfterNoOwner)
 }
 
@@ -191,19 +195,19 @@
 	return host.Name == entry.view.Self().Name
 }
 
-func (entry *Entry) runAt(ctx context.Context, host bvplatform.Host, relay *relay) error {
+func (entry *Entry) runAt(ctx context.Context, host bvplatform.Host, forwarder *forwarder) error {
 	if entry.isSelf(host) {
-		return entry.owner.Run(ctx, relay.next(), relay.forward)
+		return entry.owner.Run(ctx, forwarder.nextCall(), forwarder.forward)
 	}
 	peer, err := entry.peers.Peer(host.PeerAddress)
 	if err != nil {
-		return &lostError{err}
+		return &noAnswerError{err}
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	stream, err := peer.Run(ctx, relay.next())
+	stream, err := peer.Run(ctx, forwarder.nextCall())
 	if err != nil {
-		return &lostError{err}
+		return &noAnswerError{err}
 	}
 	for {
 		event, err := stream.Recv()
@@ -211,12 +215,12 @@
 			err = io.ErrUnexpectedEOF
 		}
 		if err != nil {
-			return &lostError{err}
+			return &noAnswerError{err}
 		}
 		if failure := event.GetFailure(); failure != nil {
 			return bvpeer.ErrorOf(failure)
 		}
-		if err := relay.forward(event); err != nil {
+		if err := forwarder.forward(event); err != nil {
 			return err
 		}
 		if event.GetFinished() != nil {
@@ -231,11 +235,11 @@
 	}
 	peer, err := entry.peers.Peer(host.PeerAddress)
 	if err != nil {
-		return nil, &lostError{err}
+		return nil, &noAnswerError{err}
 	}
 	reply, err := peer.Fetch(ctx, &bvpeer.FetchRequest{Member: member, Program: program, Request: request})
 	if err != nil {
-		return nil, &lostError{err}
+		return nil, &noAnswerError{err}
 	}
 	if failure := reply.GetFailure(); failure != nil {
 		return nil, bvpeer.ErrorOf(failure)
@@ -243,17 +247,17 @@
 	return reply.GetAnswer(), nil
 }
 
-func (entry *Entry) endAt(ctx context.Context, host bvplatform.Host, member, program string) error {
+func (entry *Entry) endProgramAt(ctx context.Context, host bvplatform.Host, member, program string) error {
 	if entry.isSelf(host) {
 		return entry.owner.EndProgram(ctx, member, program)
 	}
 	peer, err := entry.peers.Peer(host.PeerAddress)
 	if err != nil {
-		return &lostError{err}
+		return &noAnswerError{err}
 	}
 	reply, err := peer.EndProgram(ctx, &bvpeer.EndProgramRequest{Member: member, Program: program})
 	if err != nil {
-		return &lostError{err}
+		return &noAnswerError{err}
 	}
 	if failure := reply.GetFailure(); failure != nil {
 		return bvpeer.ErrorOf(failure)
--- a/bventry/entry_test.go
+++ b/bventry/entry_test.go
@@ -15,19 +15,20 @@
 	"balsamvalve.example/bvverdict"
 )
 
-// stalledOwner takes calls and never answers.
+// stalledOwner accepts calls and never answers.
 type stalledOwner struct{}
 
 func (stalledOwner) Run(ctx context.Context, _ *bvpeer.Call, _ func(*bvpeer.CallEvent) error) error {
 	<-ctx.Done()
-	return bvverdict.New(bvverdict.MayHaveRun, bvverdict.Canceled, "given up").WithCause(ctx.Err())
+	return bvverdict.New(bvverdict.MayHaveRun, bvverdict.Canceled, "call canceled").WithCause(ctx.Err())
 }
 
 func (stalledOwner) Fetch(context.Context, string, string, string) ([]byte, error) { return nil, nil }
 
 func (stalledOwner) EndProgram(context.Context, string, string) error { return nil }
 
-// Guards against a caller who waits for a stalled owner beyond the deadline.
+// Guards against a caller who waits beyond its deadline for an owner whose host has stalled
+// but still answers pings.
 func TestStalledOwnerDoesNotHoldTheCallerBeyondItsDeadline(t *testing.T) {
 	view := &bvhost.View{}
 	view.SetSelf(bvplatform.Host{Name: "host-1"})
--- a/bvroute/kind.go
+++ b/bvroute/kind.go
@@ -2,11 +2,11 @@
 
 //go:generate stringer -type=Kind -linecomment -output=kind_string.go
 
-// Kind says what may be repeated of a route's requests, and how they are
-// answered.
+// Kind is the kind of a route's requests: whether they may be repeated, and whether the
+// answer is a stream.
 type Kind int
 
-// The kinds. The zero value is the one that allows least.
+// The kinds. The zero value is the most restrictive one.
 const (
 	NonIdempotent Kind = iota // non-idempotent
 	Idempotent                // idempotent
--- a/bvroute/route.go
+++ b/bvroute/route.go
@@ -1,7 +1,7 @@
-// Package bvroute is the part of the desired state that says which request
-// goes where and who may send it: routes by host name and path, the services
-// behind them, workspaces with their keys, and the limits of what a client may send. A Table is one version of it and never
-// changes; a newer version is another Table.
+// Package bvroute is the part of the desired state that determines where a request is sent
+// and who may send it: routes by host name and path, the services behind them, workspaces
+// with their keys, and the limits on client requests. A Table is one immutable version of
+// it; a newer version is another Table.
 //
 // # Usage
 //
@@ -11,9 +11,8 @@
 //
 // # Rules
 //
-// Among the routes of a host name, the one with the longest prefix that begins
-// the path is taken (operators' manual, "Routes"). Prefixes begin and end with
-// a slash.
+// Among the routes of a host name, the one with the longest prefix of the path applies
+// (operators' manual, "Routes"). Prefixes begin and end with a slash.
 package bvroute
 
 import (
@@ -25,23 +24,23 @@
 // Route is a row of the table of routes.
 type Route struct {
 	Name      string
-	Host      string // host name that clients ask for, without a port
+	Host      string // host name of the request, without a port
 	Prefix    string // of the path; begins and ends with a slash
 	Kind      Kind
 	Timeout   bvclock.Duration // longest time that a client is kept waiting; 0 means no bound
-	Goal      bvclock.Duration // time within which an answer is of full use
+	Goal      bvclock.Duration // time within which an answer counts as in time
 	Priority  int              // rank; 0 is the most urgent
 	Targets   []Target
 	Attempts  int              // endpoints that may run one client request; at least 1
-	Retained  bool             // the turns' input and output are kept, and later turns name them
-	Retain    bvclock.Duration // how long turns and budgets are kept
-	Sticky    bool             // endpoints answer faster what they had before
-	Resumable bool             // a stream may go on at another endpoint after its last event
+	Retained  bool             // turns' input and output are retained, and later turns refer to them
+	Retain    bvclock.Duration // how long turns and budgets are retained
+	Sticky    bool             // endpoints answer faster for objects that they had before
+	Resumable bool             // a stream may continue at another endpoint after its last event
 	Open      bool             // requests need no key
 	Gap       bvclock.Duration // longest pause between two events of a stream that is on time
 }
 
-// Target is a service with its share of a route's requests.
+// Target is a service and its weight among a route's targets.
 type Target struct {
 	Service string
 	Weight  int // relative to the other targets
@@ -52,9 +51,9 @@
 	return route.Kind == Idempotent
 }
 
-// Service returns the service for a draw: the targets' weights divide the
-// range of draws. A route without a target gives none.
-func (route *Route) Service(draw uint64) string {
+// Service returns the service for a hash: the targets' weights divide the range of hashes.
+// It returns "" for a route without weighted targets.
+func (route *Route) Service(hash uint64) string {
 	total := 0
 	for _, target := range route.Targets {
 		total += target.Weight
@@ -62,7 +61,7 @@
 	if total <= 0 {
 		return ""
 	}
-	rest := int(draw % uint64(total))
+	rest := int(hash % uint64(total))
 	for _, target := range route.Targets {
 		if rest < target.Weight {
 			return target.Service
@@ -72,8 +71,8 @@
 	return ""
 }
 
-// HashKey returns the draw of a key, such as a program's id: the same on every
-// host, so that a program's turns stay with one service and its caches.
+// HashKey returns the hash of a key, such as a program's ID. It is the same on every host,
+// so that a program's turns stay with one service and its caches.
 func HashKey(key string) uint64 {
 	return xxhash.Sum64String(key)
 }
--- a/bvroute/service.go
+++ b/bvroute/service.go
@@ -5,8 +5,8 @@
 // Service is a row of the table of services.
 type Service struct {
 	Name           string
-	HealthPath     string // answers 200 while an endpoint is well
-	MaxConnections int    // that one endpoint takes from all hosts together; 0 means no bound
+	HealthPath     string // answers 200 while an endpoint is healthy
+	MaxConnections int    // that one endpoint accepts from all hosts together; 0 means no bound
 	Engine         *Engine
 }
 
@@ -14,7 +14,7 @@
 type Engine struct {
 	Slots       int // requests that run at once
 	CacheTokens int // memory for running requests and cached prefixes
-	EventTokens int // tokens that one event of a stream counts for
+	EventTokens int // tokens that one event of a stream stands for
 	PinLimit    bvclock.Duration
 }
 
@@ -23,5 +23,5 @@
 	HeaderBytes   int
 	BodyBytes     int64
 	HeaderTimeout bvclock.Duration // from the first byte to the last of a request's headers
-	IdleTimeout   bvclock.Duration // of a kept connection between two requests
+	IdleTimeout   bvclock.Duration // of a keep-alive connection between two requests
 }
--- a/bvroute/table.go
+++ b/bvroute/table.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Table is one version of the routes, services, workspaces and limits. It is never
-// changed once it is made, so many goroutines may read it.
+// Table is one version of the routes, services, workspaces and limits. It is immutable, so
+// many goroutines may read it.
 type Table struct {
 	version    int64
 	byHost     map[string][]*Route // longest prefix first
@@ -16,7 +16,7 @@
 	workspaces *workspaces // nil where requests need no key
 }
 
-// Rows is a Table as rows.
+// Rows holds the rows of a Table.
 type Rows struct {
 	Version  int64
 	Routes   []Route
@@ -27,8 +27,8 @@
 	Workspaces []Workspace
 }
 
-// NewTable returns a version of the desired state, or an error that names the
-// first row that can't be used.
+// NewTable returns a version of the desired state, or an error that names the first
+// invalid row.
 func NewTable(rows Rows) (*Table, error) {
 	table := &Table{
 		version:  rows.Version,
@@ -102,15 +102,15 @@
 	return table.workspaces.rows
 }
 
-// SharedKeyCount returns how many keys more than one workspace lists.
+// SharedKeyCount returns how many keys are listed by more than one workspace.
 func (table *Table) SharedKeyCount() int {
 	if table.workspaces == nil {
 		return 0
 	}
-	return table.workspaces.shared
+	return table.workspaces.sharedKeys
 }
 
-// Limits returns the bounds of what a client may send.
+// Limits returns the bounds on client requests.
 func (table *Table) Limits() Limits { return table.limits }
 
 // RouteCount returns how many routes there are.
--- a/bvroute/table_test.go
+++ b/bvroute/table_test.go
@@ -63,14 +63,14 @@
 	}
 }
 
-func TestOneAttemptIsTheLeast(t *testing.T) {
+func TestAttemptsAreAtLeastOne(t *testing.T) {
 	table := newTestTable(t, Route{Name: "r", Host: "h", Prefix: "/"})
 	route, _ := table.Match("h", "/")
 	require.Equal(t, 1, route.Attempts)
 }
 
-// Guards against a host that routes otherwise by a table from another host.
-func TestTablePassedOnAsRowsIsTheSame(t *testing.T) {
+// Guards against a host that routes differently by a table that it got from another host.
+func TestTableRebuiltFromItsRowsIsEqual(t *testing.T) {
 	table := newTestTable(t,
 		Route{Name: "short", Host: "h", Prefix: "/x/", Targets: []Target{{Service: "a", Weight: 1}}},
 		Route{Name: "long", Host: "h", Prefix: "/x/y/"})
--- a/bvroute/workspace.go
+++ b/bvroute/workspace.go
@@ -6,14 +6,13 @@
 	"fmt"
 )
 
-// Workspace is a row of the table of workspaces: a customer with its keys and
-// its usage cap.
+// Workspace is a row of the table of workspaces, with its keys and its usage cap.
 type Workspace struct {
 	Name     string
 	Keys     []KeyDigest
 	Rate     float64 // requests a second over all hosts; 0 means no cap
-	Burst    float64 // requests beyond the rate that may come at once
-	Priority *int    // rank of its requests; nil leaves it to the route
+	Burst    float64 // requests beyond the rate that may arrive at once
+	Priority *int    // rank of its requests; nil: the route's priority
 }
 
 // HasCap reports whether the workspace has a usage cap.
@@ -27,7 +26,7 @@
 	return *workspace.Priority
 }
 
-// KeyDigest is the SHA-256 digest of an API key. Keys are not kept in the clear.
+// KeyDigest is the SHA-256 digest of an API key. Keys are not stored in plain text.
 type KeyDigest [sha256.Size]byte
 
 // DigestKey returns the digest of an API key.
@@ -49,11 +48,11 @@
 	return nil
 }
 
-// workspaces are all workspaces of a Table, by their keys.
+// workspaces holds all workspaces of a Table, indexed by their keys.
 type workspaces struct {
-	rows   []Workspace
-	byKey  map[KeyDigest]*Workspace
-	shared int // keys that a second workspace lists
+	rows       []Workspace
+	byKey      map[KeyDigest]*Workspace
+	sharedKeys int // listed by more than one workspace
 }
 
 func newWorkspaces(rows []Workspace) (*workspaces, error) {
@@ -82,13 +81,13 @@
 		case !listed:
 			workspaces.byKey[key] = workspace
 		case holder != workspace:
-			workspaces.shared++
+			workspaces.sharedKeys++
 		}
 	}
 }
 
-// find looks a key up by its digest, whose bytes a client can't choose, so that the
-// time of the lookup tells nothing of other keys.
+// find looks up a key by its digest, whose bytes a client can't choose, so that the time of
+// the lookup reveals nothing about other keys.
 func (workspaces *workspaces) find(key string) (*Workspace, bool) {
 	if workspaces == nil || key == "" {
 		return nil, false
--- a/bvroute/workspace_test.go
+++ b/bvroute/workspace_test.go
@@ -29,8 +29,8 @@
 	require.False(t, found)
 }
 
-// Guards against an empty key that every request without one matches.
-func TestEmptyKeyBelongsToNobody(t *testing.T) {
+// Guards against an empty key on the list, which every request without a key would match.
+func TestEmptyKeyBelongsToNoWorkspace(t *testing.T) {
 	table := newKeyedTable(t, Workspace{Name: "ana", Keys: []KeyDigest{DigestKey("")}})
 	_, found := table.WorkspaceByKey("")
 	require.False(t, found)
@@ -50,7 +50,7 @@
 	require.True(t, newKeyedTable(t).NeedsKeys())
 }
 
-func TestWorkspacesThatCantBeUsedAreNamed(t *testing.T) {
+func TestErrorNamesTheInvalidWorkspace(t *testing.T) {
 	for _, workspaces := range [][]Workspace{
 		{{Name: "ana", Rate: -1}},
 		{{Name: "ana", Burst: -1}},
@@ -63,7 +63,7 @@
 	require.ErrorContains(t, err, "empty")
 }
 
-func TestPriorityOfAWorkspaceGoesBeforeTheRoutes(t *testing.T) {
+func TestPriorityOfAWorkspaceOverridesTheRoutes(t *testing.T) {
 	urgent := 0
 	route := &Route{Priority: 2}
 	require.Equal(t, 0, (&Workspace{Priority: &urgent}).PriorityOn(route))
@@ -72,8 +72,8 @@
 	require.Equal(t, 2, none.PriorityOn(route))
 }
 
-// Guards against keys in the clear between hosts.
-func TestKeysArePassedOnAsDigests(t *testing.T) {
+// Guards against keys that are sent between hosts in plain text.
+func TestRowsContainKeysAsDigestsOnly(t *testing.T) {
 	table := newKeyedTable(t, Workspace{Name: "ana", Keys: []KeyDigest{DigestKey("secret-of-ana")}, Rate: 2, Burst: 3})
 	encoded, err := json.Marshal(table.Rows())
 	require.NoError(t, err)
--- a/bvverdict/verdict.go
+++ b/bvverdict/verdict.go
@@ -1,8 +1,8 @@
-// Package bvverdict says, for every error that reaches a caller, whether the
-// request may have run.
+// Package bvverdict defines the errors that reach a caller, each with a verdict on whether
+// the request may have run.
 //
-// A caller may safely send a NotRun request again, whatever it does. A
-// MayHaveRun request must be asked about, not repeated, when it has effects.
+// A caller may safely repeat a NotRun request, whatever its effects. For a MayHaveRun
+// request with effects, the caller must query the outcome instead.
 //
 // # Usage
 //
@@ -10,7 +10,7 @@
 //		WithRetryAfter(2 * bvclock.Second)
 //
 //	if bvverdict.Of(err) == bvverdict.NotRun {
-//		// another endpoint may be tried
+//		// another endpoint may get the request
 //	}
 package bvverdict
 
@@ -23,8 +23,7 @@
 
 //go:generate stringer -type=Verdict,Code -linecomment -output=verdict_string.go
 
-// Verdict says whether a request may have run. The zero value is the one that
-// promises nothing.
+// Verdict indicates whether a request may have run. The zero value guarantees nothing.
 type Verdict int
 
 // The verdicts.
@@ -34,7 +33,7 @@
 	Ran                       // ran
 )
 
-// Code names the kind of an error. The texts are part of the caller API.
+// Code is the kind of an error. The texts are part of the caller API.
 type Code int
 
 // The codes.
@@ -67,8 +66,8 @@
 	UnknownRoute                    // unknown_route
 )
 
-// Error is an error with its verdict. The zero value reads as an internal
-// error that may have run.
+// Error is an error with its verdict. The zero value is an internal error of a request that
+// may have run.
 type Error struct {
 	verdict    Verdict
 	code       Code
@@ -77,8 +76,8 @@
 	cause      error
 }
 
-// New returns an error with the given verdict; reason is a format string for
-// a person.
+// New returns an error with the given verdict; reason is a format string for a
+// human-readable text.
 func New(verdict Verdict, code Code, reason string, args ...any) *Error {
 	return &Error{verdict: verdict, code: code, reason: fmt.Sprintf(reason, args...)}
 }
@@ -88,28 +87,28 @@
 	return New(NotRun, code, reason, args...)
 }
 
-// WithRetryAfter adds when coming back can help.
+// WithRetryAfter sets the time after which a retry can succeed.
 func (err *Error) WithRetryAfter(duration bvclock.Duration) *Error {
 	err.retryAfter = duration
 	return err
 }
 
-// WithCause adds the error that led to this one.
+// WithCause sets the error that caused this one.
 func (err *Error) WithCause(cause error) *Error {
 	err.cause = cause
 	return err
 }
 
-// Verdict says whether the request may have run.
+// Verdict returns whether the request may have run.
 func (err *Error) Verdict() Verdict { return err.verdict }
 
 // Code returns the kind of the error.
 func (err *Error) Code() Code { return err.code }
 
-// Reason returns the text for a person.
+// Reason returns the human-readable text.
 func (err *Error) Reason() string { return err.reason }
 
-// RetryAfter returns when coming back can help; zero means never.
+// RetryAfter returns the time after which a retry can succeed; zero means never.
 func (err *Error) RetryAfter() bvclock.Duration { return err.retryAfter }
 
 // Error implements error.
@@ -124,8 +123,8 @@
 // Unwrap returns the cause.
 func (err *Error) Unwrap() error { return err.cause }
 
-// From returns the Error in err's chain. Any other error becomes an internal
-// one that may have run, because nothing is known about it.
+// From returns the Error in err's chain. Any other error becomes an internal one with
+// MayHaveRun, because nothing is known about it.
 func From(err error) *Error {
 	var found *Error
 	if errors.As(err, &found) {
@@ -134,7 +133,7 @@
 	return New(MayHaveRun, Internal, "%s", "unexpected error").WithCause(err)
 }
 
-// Of returns the verdict of err; an unknown error may have run.
+// Of returns the verdict of err; for an unknown error it is MayHaveRun.
 func Of(err error) Verdict {
 	return From(err).Verdict()
 }
