--- a/bvgossip/claim_test.go
+++ b/bvgossip/claim_test.go
@@ -35,7 +35,7 @@
 	require.Equal(t, all[0] == b.address, skipped)
 }
 
-// Guards against allocators that have just started and have no usage of other hosts.
+// Guards against allocators that have just started and lack the usage of other hosts.
 func TestAllocatorsAreSettledHostsWhereThereAreAny(t *testing.T) {
 	var known trackers
 	for i := range 20 {
--- a/bvgossip/gossip.go
+++ b/bvgossip/gossip.go
@@ -47,7 +47,7 @@
 	// crossZoneIntervalPerHost lengthens that with the number of hosts. Up to
 	// maxFullDigestHosts hosts, digests to other zones contain the calls at all endpoints;
 	// with more hosts only those at endpoints of the receiver's zone, because the others
-	// would be most of all bytes.
+	// would make up most of the traffic.
 	crossZoneIntervalPerHost = 6 * bvclock.Millisecond
 	maxFullDigestHosts       = 120
 	// intervalPerHost lengthens the interval with the number of hosts, so that a host does
--- a/bvgossip/probe.go
+++ b/bvgossip/probe.go
@@ -13,7 +13,7 @@
 // them cached. So each endpoint has a tracker, a host of its availability zone to which
 // each call is reported at once, and a host queries the trackers of a few endpoints
 // before it places a call. This costs a few datagrams a call, independent of the number
-// of hosts. If a tracker fails or a datagram is lost, decisions rest on the digests.
+// of hosts. If a tracker fails or a datagram is lost, decisions use the digests alone.
 
 const (
 	// probeTimeout bounds the wait for trackers. Without their counts, those of the
