--- a/bvdaemon/peer.go
+++ b/bvdaemon/peer.go
@@ -18,14 +18,14 @@
 	if err == nil {
 		return nil
 	}
-	return stream.Send(&bvpeer.CallEvent{Event: &bvpeer.CallEvent_Failure{Failure: bvpeer.FailureOf(err)}})
+	return stream.Send(&bvpeer.CallEvent{Event: &bvpeer.CallEvent_Failure{Failure: bvpeer.EncodeFailure(err)}})
 }
 
 // Fetch implements bvpeer.PeerServer.
 func (service *peerService) Fetch(ctx context.Context, request *bvpeer.FetchRequest) (*bvpeer.FetchReply, error) {
 	answer, err := service.daemon.owner.Fetch(ctx, request.GetMember(), request.GetProgram(), request.GetRequest())
 	if err != nil {
-		return &bvpeer.FetchReply{Failure: bvpeer.FailureOf(err)}, nil
+		return &bvpeer.FetchReply{Failure: bvpeer.EncodeFailure(err)}, nil
 	}
 	return &bvpeer.FetchReply{Answer: answer}, nil
 }
@@ -34,7 +34,7 @@
 func (service *peerService) EndProgram(ctx context.Context, request *bvpeer.EndProgramRequest) (*bvpeer.EndProgramReply, error) {
 	err := service.daemon.owner.EndProgram(ctx, request.GetMember(), request.GetProgram())
 	if err != nil {
-		return &bvpeer.EndProgramReply{Failure: bvpeer.FailureOf(err)}, nil
+		return &bvpeer.EndProgramReply{Failure: bvpeer.EncodeFailure(err)}, nil
 	}
 	return &bvpeer.EndProgramReply{}, nil
 }
--- a/bvdaemon/status.go
+++ b/bvdaemon/status.go
@@ -78,7 +78,7 @@
 // report is what this host says of itself and of a member.
 func (daemon *Daemon) report(member string) bvstatus.Report {
 	self := daemon.view.Self()
-	version, confirmed := daemon.table.follower.InForce()
+	version, confirmed := daemon.table.follower.VersionInForce()
 	_, refusing := daemon.table.follower.Current()
 	report := bvstatus.Report{
 		Host:      self.Name,
--- a/bvdaemon/table.go
+++ b/bvdaemon/table.go
@@ -35,7 +35,7 @@
 
 // version returns the version in force.
 func (table *table) version() int64 {
-	version, _ := table.follower.InForce()
+	version, _ := table.follower.VersionInForce()
 	return version
 }
 
@@ -153,7 +153,7 @@
 }
 
 // Show implements bvtable.Peers.
-func (peers tablePeers) Show(ctx context.Context, name string, known int64) (int64, []byte, error) {
+func (peers tablePeers) FetchSnapshot(ctx context.Context, name string, known int64) (int64, []byte, error) {
 	client, err := peers.client(name)
 	if err != nil {
 		return 0, nil, err
@@ -188,7 +188,7 @@
 	if err := json.Unmarshal(pushed.GetChanges(), &changes); err != nil {
 		return nil, fmt.Errorf("daemon: decode changes: %w", err)
 	}
-	version, err := service.daemon.table.follower.Accept(ctx, pushed.GetVersion(), changes)
+	version, err := service.daemon.table.follower.ApplyCommitted(ctx, pushed.GetVersion(), changes)
 	if err != nil {
 		return nil, err
 	}
@@ -198,7 +198,7 @@
 
 // TableSnapshot implements bvpeer.PeerServer.
 func (service *peerService) TableSnapshot(_ context.Context, request *bvpeer.TableSnapshotRequest) (*bvpeer.TableSnapshotReply, error) {
-	version, snapshot, err := service.daemon.table.follower.Show(request.GetKnown())
+	version, snapshot, err := service.daemon.table.follower.SnapshotNewerThan(request.GetKnown())
 	if err != nil {
 		return nil, err
 	}
--- a/bventry/entry.go
+++ b/bventry/entry.go
@@ -218,7 +218,7 @@
 			return &noAnswerError{err}
 		}
 		if failure := event.GetFailure(); failure != nil {
-			return bvpeer.ErrorOf(failure)
+			return bvpeer.DecodeFailure(failure)
 		}
 		if err := forwarder.forward(event); err != nil {
 			return err
@@ -242,7 +242,7 @@
 		return nil, &noAnswerError{err}
 	}
 	if failure := reply.GetFailure(); failure != nil {
-		return nil, bvpeer.ErrorOf(failure)
+		return nil, bvpeer.DecodeFailure(failure)
 	}
 	return reply.GetAnswer(), nil
 }
@@ -260,7 +260,7 @@
 		return &noAnswerError{err}
 	}
 	if failure := reply.GetFailure(); failure != nil {
-		return bvpeer.ErrorOf(failure)
+		return bvpeer.DecodeFailure(failure)
 	}
 	return nil
 }
--- a/bvpeer/peer.go
+++ b/bvpeer/peer.go
@@ -15,8 +15,8 @@
 	"balsamvalve.example/bvverdict"
 )
 
-// FailureOf encodes an error for the wire.
-func FailureOf(err error) *Failure {
+// EncodeFailure encodes an error for the wire.
+func EncodeFailure(err error) *Failure {
 	verdict := bvverdict.From(err)
 	return &Failure{
 		Verdict:      int32(verdict.Verdict()),
@@ -26,9 +26,9 @@
 	}
 }
 
-// ErrorOf decodes an error from the wire. A verdict this version does not
+// DecodeFailure decodes an error from the wire. A verdict this version does not
 // know reads as one that promises nothing.
-func ErrorOf(failure *Failure) *bvverdict.Error {
+func DecodeFailure(failure *Failure) *bvverdict.Error {
 	verdict := bvverdict.Verdict(failure.GetVerdict())
 	if verdict != bvverdict.NotRun && verdict != bvverdict.Ran {
 		verdict = bvverdict.MayHaveRun
--- a/bvpermit/client.go
+++ b/bvpermit/client.go
@@ -163,7 +163,7 @@
 func (client *Client) permitOf(request *bvpeer.PermitAsk, decision *bvpeer.PermitDecision, link link) (*Permit, error) {
 	grant := decision.GetGrant()
 	if grant == nil {
-		return nil, bvpeer.ErrorOf(decision.GetRefusal())
+		return nil, bvpeer.DecodeFailure(decision.GetRefusal())
 	}
 	return &Permit{
 		client:    client,
--- a/bvpermit/pool.go
+++ b/bvpermit/pool.go
@@ -127,7 +127,7 @@
 		return func() {}
 	}
 	delete(pool.tickets, refusal.Request)
-	failure := bvpeer.FailureOf(refusal.Err)
+	failure := bvpeer.EncodeFailure(refusal.Err)
 	decision := &bvpeer.PermitDecision{Decision: &bvpeer.PermitDecision_Refusal{Refusal: failure}}
 	return func() { ticket.deliver(decision) }
 }
--- a/bvpermit/server.go
+++ b/bvpermit/server.go
@@ -173,7 +173,7 @@
 // errorOf returns the refusal in a decision, or nil for a grant.
 func errorOf(decision *bvpeer.PermitDecision) error {
 	if failure := decision.GetRefusal(); failure != nil {
-		return bvpeer.ErrorOf(failure)
+		return bvpeer.DecodeFailure(failure)
 	}
 	return nil
 }
@@ -219,5 +219,5 @@
 }
 
 func refusalOf(err error) *bvpeer.PermitDecision {
-	return &bvpeer.PermitDecision{Decision: &bvpeer.PermitDecision_Refusal{Refusal: bvpeer.FailureOf(err)}}
+	return &bvpeer.PermitDecision{Decision: &bvpeer.PermitDecision_Refusal{Refusal: bvpeer.EncodeFailure(err)}}
 }
--- a/bvtable/csv.go
+++ b/bvtable/csv.go
@@ -211,7 +211,7 @@
 
 // addition makes a row that the base lacks, even if its cells are all zero.
 func (line sheetLine) addition(base *Table) []CellEdit {
-	if _, found := base.Exact(line.name); found {
+	if _, found := base.ExactRow(line.name); found {
 		return nil
 	}
 	old := Absent
--- a/bvtable/edit.go
+++ b/bvtable/edit.go
@@ -205,10 +205,10 @@
 // somebody removed while this edit was under way must not come back with one
 // cell of it.
 func (plan *editPlan) presence(table *Table, name RowName) ([]Cell, error) {
-	if _, found := table.Exact(name); found {
+	if _, found := table.ExactRow(name); found {
 		return nil, nil
 	}
-	if _, found := plan.first.Exact(name); found {
+	if _, found := plan.first.ExactRow(name); found {
 		return nil, conflict(name, Presence, Present, Absent)
 	}
 	return []Cell{{Member: name.Member, Class: name.Class, Column: Presence, Old: Absent, New: Present}}, nil
--- a/bvtable/editor.go
+++ b/bvtable/editor.go
@@ -107,7 +107,7 @@
 func (editor *Editor) validate(ctx context.Context, next *Table, change Change) error {
 	validation := validation{known: editor.known(ctx)}
 	for _, cell := range change.Cells {
-		row, found := next.Exact(cell.Row())
+		row, found := next.ExactRow(cell.Row())
 		switch {
 		case found && cell.Column == Models:
 			validation.checkKnown(row.Name(), Models, "model", row.Models, validation.known.Models)
@@ -118,21 +118,21 @@
 	if len(validation.problems) > 0 {
 		return invalid(&InvalidError{Problems: validation.problems})
 	}
-	if err := Validate(next.Rows(), Known{}); err != nil {
+	if err := Validate(next.Rows(), Catalog{}); err != nil {
 		return invalid(err)
 	}
 	return nil
 }
 
-func (editor *Editor) known(ctx context.Context) Known {
+func (editor *Editor) known(ctx context.Context) Catalog {
 	if editor.Endpoints == nil {
-		return Known{}
+		return Catalog{}
 	}
 	endpoints, err := editor.Endpoints.Endpoints(ctx)
 	if err != nil {
-		return Known{}
+		return Catalog{}
 	}
-	var known Known
+	var known Catalog
 	for _, endpoint := range endpoints {
 		if endpoint.Kind == bvplatform.Engine {
 			known.Models = append(known.Models, endpoint.Serves)
--- a/bvtable/editor_test.go
+++ b/bvtable/editor_test.go
@@ -84,7 +84,7 @@
 	editor := newEditor(store)
 	proposal, _, err := editor.Propose(t.Context(), piran, "", []MemberShare{{"brindley", 30}, {"piran", 70}})
 	require.NoError(t, err)
-	require.Equal(t, []string{"brindley"}, proposal.Awaits())
+	require.Equal(t, []string{"brindley"}, proposal.MissingConsents())
 	require.Equal(t, []MemberShare{{"brindley", 40}, {"piran", 60}}, editor.Follower.Snapshot().Shares())
 
 	_, _, err = editor.Accept(t.Context(), piran, "", proposal.ID)
--- a/bvtable/fake_test.go
+++ b/bvtable/fake_test.go
@@ -149,11 +149,11 @@
 	return names
 }
 
-func (peers peersOf) Show(_ context.Context, host string, known int64) (int64, []byte, error) {
+func (peers peersOf) FetchSnapshot(_ context.Context, host string, known int64) (int64, []byte, error) {
 	if peers.cut[host] || peers.cut[peers.self] {
 		return 0, nil, errors.New("cut")
 	}
-	return peers.hosts[host].Show(known)
+	return peers.hosts[host].SnapshotNewerThan(known)
 }
 
 func hostName(i int) string { return "host-" + strconv.Itoa(i) }
--- a/bvtable/follower.go
+++ b/bvtable/follower.go
@@ -13,7 +13,7 @@
 )
 
 // readTimeout bounds one look at the store or at a peer, so that a look at a
-// hanging store and then at peers stays within ConfirmBound.
+// hanging store and then at peers stays within MaxConfirmAge.
 const readTimeout = bvclock.Second
 
 // Follower keeps a host's table up with the store, or with the other hosts
@@ -49,9 +49,9 @@
 	return follower.lastErr
 }
 
-// InForce returns the version in force and when it was last confirmed, as a
+// VersionInForce returns the version in force and when it was last confirmed, as a
 // time of the follower's clock; zeros before the first.
-func (follower *Follower) InForce() (version int64, confirmed bvclock.Time) {
+func (follower *Follower) VersionInForce() (version int64, confirmed bvclock.Time) {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
 	return follower.state.Version(), follower.state.confirmed
@@ -64,8 +64,8 @@
 	return follower.state.table
 }
 
-// Show answers a peer's question as Peers.Show describes it.
-func (follower *Follower) Show(known int64) (version int64, snapshot []byte, err error) {
+// SnapshotNewerThan serves Peers.FetchSnapshot.
+func (follower *Follower) SnapshotNewerThan(known int64) (version int64, snapshot []byte, err error) {
 	table := follower.Snapshot()
 	if table == nil {
 		return 0, nil, errors.New("table: this host has none yet")
@@ -77,18 +77,18 @@
 	return table.version, snapshot, err
 }
 
-// Accept takes changes that a peer has seen committed and returns the version
+// ApplyCommitted takes changes that a peer has seen committed and returns the version
 // then in force. When they don't follow the version in force, the store is
 // read.
-func (follower *Follower) Accept(ctx context.Context, version int64, changes []Change) (int64, error) {
+func (follower *Follower) ApplyCommitted(ctx context.Context, version int64, changes []Change) (int64, error) {
 	err := follower.apply(changes)
 	if err != nil {
 		return 0, err
 	}
-	if inForce, _ := follower.InForce(); inForce < version {
+	if inForce, _ := follower.VersionInForce(); inForce < version {
 		err = follower.refresh(ctx)
 	}
-	inForce, _ := follower.InForce()
+	inForce, _ := follower.VersionInForce()
 	if inForce >= version {
 		return inForce, nil
 	}
@@ -135,7 +135,7 @@
 
 // refresh brings the table up to the store's version.
 func (follower *Follower) refresh(ctx context.Context) error {
-	before, _ := follower.InForce()
+	before, _ := follower.VersionInForce()
 	sent := follower.Clock.Now()
 	shown, err := follower.storeVersion(ctx)
 	if err != nil {
@@ -175,7 +175,7 @@
 		if err := follower.apply(changes); err != nil {
 			return err
 		}
-		if version, _ := follower.InForce(); version >= shown {
+		if version, _ := follower.VersionInForce(); version >= shown {
 			return nil
 		}
 	}
--- a/bvtable/machine_test.go
+++ b/bvtable/machine_test.go
@@ -49,7 +49,7 @@
 		refused:  map[string]bool{},
 		unknown:  map[string]bool{},
 		expected: map[string]string{},
-		trouble:  -bvclock.Time(ConfirmBound),
+		trouble:  -bvclock.Time(MaxConfirmAge),
 	}
 	seed(t, store)
 	store.failed = func() { machine.trouble = machine.clock.Now() }
@@ -179,7 +179,7 @@
 			from := rapid.Int64Range(1, 1+int64(len(machine.accepted))).Draw(t, "from")
 			changes, err := storage{&machine.store.Memory}.changes(context.Background(), from, from+1)
 			require.NoError(t, err)
-			_, _ = machine.editors[machine.drawHost(t)].Follower.Accept(context.Background(), from, changes)
+			_, _ = machine.editors[machine.drawHost(t)].Follower.ApplyCommitted(context.Background(), from, changes)
 		},
 		"restartInRace": func(t *rapid.T) {
 			host := machine.drawHost(t)
@@ -206,13 +206,13 @@
 	machine.store.readOuts = 0
 	machine.start(i)
 	_ = machine.editors[i].Follower.Poll(context.Background())
-	inForce, _ := machine.editors[i].Follower.InForce()
+	inForce, _ := machine.editors[i].Follower.VersionInForce()
 	if !machine.store.out {
 		require.Equal(t, machine.newest(t).Version(), inForce)
 		return
 	}
 	for j, editor := range machine.editors {
-		version, _ := editor.Follower.InForce()
+		version, _ := editor.Follower.VersionInForce()
 		if !machine.peers.cut[hostName(i)] && !machine.peers.cut[hostName(j)] {
 			require.GreaterOrEqual(t, inForce, version)
 		}
@@ -249,7 +249,7 @@
 	}
 	machine.shown = append(machine.shown, shownVersion{machine.clock.Now(), newest.Version()})
 	for i, editor := range machine.editors {
-		version, _ := editor.Follower.InForce()
+		version, _ := editor.Follower.VersionInForce()
 		require.GreaterOrEqual(t, version, machine.highest[i], "%s went back", hostName(i))
 		machine.highest[i] = version
 		if table := editor.Follower.Snapshot(); table != nil {
@@ -264,11 +264,11 @@
 func (machine *machine) checkAdmits(t *rapid.T, follower *Follower) {
 	now := machine.clock.Now()
 	table, err := follower.Current()
-	if err != nil || now.Sub(machine.trouble) <= ConfirmBound {
+	if err != nil || now.Sub(machine.trouble) <= MaxConfirmAge {
 		return
 	}
 	for _, shown := range machine.shown {
-		if now.Sub(shown.at) > ConfirmBound {
+		if now.Sub(shown.at) > MaxConfirmAge {
 			require.GreaterOrEqual(t, table.Version(), shown.version, "new work runs against an old version")
 		}
 	}
--- a/bvtable/peers.go
+++ b/bvtable/peers.go
@@ -21,9 +21,9 @@
 type Peers interface {
 	// Names returns the other live hosts, as last known.
 	Names() []string
-	// Show returns the version that a host has in force and, if that is above
+	// FetchSnapshot returns the version that a host has in force and, if that is above
 	// known, its encoded table.
-	Show(ctx context.Context, host string, known int64) (version int64, snapshot []byte, err error)
+	FetchSnapshot(ctx context.Context, host string, known int64) (version int64, snapshot []byte, err error)
 }
 
 // askPeers takes the highest version that peers show, from one of those that
@@ -61,7 +61,7 @@
 // takeFromPeers gets the table from the first of the peers that gives it.
 func (follower *Follower) takeFromPeers(ctx context.Context, peers []peerAnswer, sent bvclock.Time) error {
 	shown := peers[0].version
-	known, _ := follower.InForce()
+	known, _ := follower.VersionInForce()
 	var failures []error
 	for _, peer := range peers {
 		if known >= shown {
@@ -73,7 +73,7 @@
 			continue
 		}
 		follower.install(answer.table)
-		known, _ = follower.InForce()
+		known, _ = follower.VersionInForce()
 	}
 	if known < shown {
 		return fmt.Errorf("table: no peer gave version %d: %w", shown, errors.Join(failures...))
@@ -92,7 +92,7 @@
 func (follower *Follower) askPeer(ctx context.Context, name string, known int64) peerAnswer {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout.Std())
 	defer cancel()
-	version, snapshot, err := follower.Peers.Show(ctx, name, known)
+	version, snapshot, err := follower.Peers.FetchSnapshot(ctx, name, known)
 	if err != nil {
 		return peerAnswer{err: fmt.Errorf("table: ask host %s: %w", name, err)}
 	}
@@ -110,7 +110,7 @@
 	names := follower.Peers.Names()
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
-	if !follower.state.Started() || len(names) <= peersPerPoll {
+	if !follower.state.HasTable() || len(names) <= peersPerPoll {
 		return names
 	}
 	chosen := make([]string, 0, peersPerPoll)
--- a/bvtable/proposal.go
+++ b/bvtable/proposal.go
@@ -55,8 +55,8 @@
 	State    ProposalState `json:"state"`
 }
 
-// Awaits returns the members whose consent is missing.
-func (proposal *Proposal) Awaits() []string {
+// MissingConsents returns the members whose consent is missing.
+func (proposal *Proposal) MissingConsents() []string {
 	if proposal.State != Open {
 		return nil
 	}
@@ -119,7 +119,7 @@
 		if proposal.State == Outdated {
 			return draft{}, bvverdict.Refuse(bvverdict.Conflict, "the shares have changed since %s was proposed", id)
 		}
-		if !slices.Contains(proposal.Awaits(), actor.Member) {
+		if !slices.Contains(proposal.MissingConsents(), actor.Member) {
 			return draft{}, bvverdict.Refuse(bvverdict.Forbidden, "%s does not await the consent of %s", id, actor.Member)
 		}
 		proposal.Consents = append(proposal.Consents, actor.Member)
@@ -242,7 +242,7 @@
 // recorded consents allow.
 func proposalDraft(table *Table, proposal *Proposal, version int64, note string) (draft, error) {
 	draft := draft{proposal: proposal.ID, note: note}
-	if len(proposal.Awaits()) == 0 {
+	if len(proposal.MissingConsents()) == 0 {
 		proposal.State = Accepted
 		draft.cells = shareCells(table, proposal.Shares)
 	}
@@ -260,7 +260,7 @@
 	var cells []Cell
 	for _, share := range shares {
 		name := RowName{Member: share.Member}
-		_, found := table.Exact(name)
+		_, found := table.ExactRow(name)
 		switch {
 		case !found && share.Share > 0:
 			cells = append(cells, Cell{Member: share.Member, Column: Presence, Old: Absent, New: Present})
--- a/bvtable/race_test.go
+++ b/bvtable/race_test.go
@@ -116,7 +116,7 @@
 	seed(t, backup)
 	editor.Follower.Store = backup
 	require.Error(t, editor.Follower.Poll(t.Context()))
-	version, _ := editor.Follower.InForce()
+	version, _ := editor.Follower.VersionInForce()
 	require.EqualValues(t, 2, version)
 }
 
@@ -153,7 +153,7 @@
 		<-ctx.Done()
 		return 0, ctx.Err()
 	}
-	return hosts.followers[host].Accept(ctx, version, changes)
+	return hosts.followers[host].ApplyCommitted(ctx, version, changes)
 }
 
 // consortium returns an editor on host-0 and the hosts that follow.
@@ -224,7 +224,7 @@
 
 func (slowPeers) Names() []string { return []string{"fast", "none", "slow"} }
 
-func (peers slowPeers) Show(ctx context.Context, host string, known int64) (int64, []byte, error) {
+func (peers slowPeers) FetchSnapshot(ctx context.Context, host string, known int64) (int64, []byte, error) {
 	table := peers[host]
 	if table == nil {
 		<-ctx.Done()
@@ -235,7 +235,7 @@
 	}
 	follower := &Follower{}
 	follower.install(table)
-	return follower.Show(known)
+	return follower.SnapshotNewerThan(known)
 }
 
 // Guards against a restarted host that follows a store which was set back.
--- a/bvtable/report.go
+++ b/bvtable/report.go
@@ -13,7 +13,7 @@
 
 const (
 	// confirmLimit bounds the wait for confirmations, so that the operator has
-	// the report within ConfirmBound of the edit.
+	// the report within MaxConfirmAge of the edit.
 	confirmLimit = 3500 * bvclock.Millisecond
 	// confirmPause is the wait before a host that didn't confirm is asked again.
 	confirmPause = 200 * bvclock.Millisecond
@@ -112,7 +112,7 @@
 
 func (editor *Editor) askHost(ctx context.Context, host string, version int64, changes []Change) bool {
 	if host == editor.Host {
-		inForce, _ := editor.Follower.InForce()
+		inForce, _ := editor.Follower.VersionInForce()
 		return inForce >= version
 	}
 	if editor.Confirmer == nil {
--- a/bvtable/rule.go
+++ b/bvtable/rule.go
@@ -54,16 +54,16 @@
 	return strings.Join(lines, "; ")
 }
 
-// Known lists the models and services that the platform shows. An empty list
+// Catalog lists the models and services that the platform shows. An empty list
 // means that nothing is known, and checks nothing.
-type Known struct {
+type Catalog struct {
 	Models   []string
 	Services []string
 }
 
 // Validate checks whole rows, each by itself and all together. It returns an
 // *InvalidError that names every bad cell, or nil.
-func Validate(rows []Row, known Known) error {
+func Validate(rows []Row, known Catalog) error {
 	validation := validation{known: known}
 	for i := range rows {
 		validation.checkRow(&rows[i])
@@ -77,7 +77,7 @@
 }
 
 type validation struct {
-	known    Known
+	known    Catalog
 	problems []Problem
 }
 
--- a/bvtable/rule_test.go
+++ b/bvtable/rule_test.go
@@ -8,7 +8,7 @@
 
 func requireProblem(t *testing.T, problem string, rows ...Row) {
 	t.Helper()
-	err := Validate(rows, Known{Models: []string{"small"}, Services: []string{"stock"}})
+	err := Validate(rows, Catalog{Models: []string{"small"}, Services: []string{"stock"}})
 	require.ErrorContains(t, err, problem)
 }
 
@@ -20,7 +20,7 @@
 
 func TestSharesInThirdsAddUp(t *testing.T) {
 	rows := []Row{{Member: "a", Share: 33.34}, {Member: "b", Share: 33.33}, {Member: "c", Share: 33.33}}
-	require.NoError(t, Validate(rows, Known{}))
+	require.NoError(t, Validate(rows, Catalog{}))
 }
 
 func TestShareOfZeroIsNamed(t *testing.T) {
--- a/bvtable/state.go
+++ b/bvtable/state.go
@@ -5,9 +5,9 @@
 	"balsamvalve.example/bvverdict"
 )
 
-// ConfirmBound is how long a host may work without anybody confirming its
+// MaxConfirmAge is how long a host may work without anybody confirming its
 // version.
-const ConfirmBound = 4 * bvclock.Second
+const MaxConfirmAge = 4 * bvclock.Second
 
 // retryUnconfirmed is when a refused caller may find the host confirmed.
 const retryUnconfirmed = bvclock.Second
@@ -29,8 +29,8 @@
 	return state.table.version
 }
 
-// Started reports whether the host has a table at all.
-func (state *State) Started() bool { return state.table != nil }
+// HasTable reports whether the host has a table at all.
+func (state *State) HasTable() bool { return state.table != nil }
 
 // Apply puts changes in force that follow the version in force, and skips all
 // others: an older one must not set back, and after a gap the table would
@@ -72,7 +72,7 @@
 }
 
 // Current returns the table in force. A host that nobody has confirmed for
-// ConfirmBound refuses new work: the store and all peers are out of its
+// MaxConfirmAge refuses new work: the store and all peers are out of its
 // reach, or it was paused, and meanwhile an edit may have been accepted
 // elsewhere that it would act against. The clock counts suspended time, so a
 // host that wakes up is refused before it has run anything.
@@ -81,7 +81,7 @@
 		return nil, bvverdict.Refuse(bvverdict.PlatformUnavailable,
 			"this host has no confirmed table yet").WithRetryAfter(retryUnconfirmed)
 	}
-	if age := now.Sub(state.confirmed); age > ConfirmBound {
+	if age := now.Sub(state.confirmed); age > MaxConfirmAge {
 		return nil, bvverdict.Refuse(bvverdict.PlatformUnavailable,
 			"version %d of the table was last confirmed %v ago", state.table.version, age.Std()).
 			WithRetryAfter(retryUnconfirmed)
--- a/bvtable/table.go
+++ b/bvtable/table.go
@@ -49,14 +49,14 @@
 // Row returns the row of a class of programs; the member's own row stands for
 // a class that has none. The row's lists must not be changed.
 func (table *Table) Row(member, class string) (Row, bool) {
-	if row, found := table.Exact(RowName{Member: member, Class: class}); found {
+	if row, found := table.ExactRow(RowName{Member: member, Class: class}); found {
 		return row, true
 	}
-	return table.Exact(RowName{Member: member})
+	return table.ExactRow(RowName{Member: member})
 }
 
-// Exact returns the row of that very name.
-func (table *Table) Exact(name RowName) (Row, bool) {
+// ExactRow returns the row of that very name.
+func (table *Table) ExactRow(name RowName) (Row, bool) {
 	i, found := table.find(name)
 	if !found {
 		return Row{}, false
@@ -93,7 +93,7 @@
 // CellText returns the text of a cell; a row that isn't there reads as one
 // with zero values, but for its Presence.
 func (table *Table) CellText(name RowName, column Column) string {
-	row, found := table.Exact(name)
+	row, found := table.ExactRow(name)
 	if !found && column == Presence {
 		return Absent
 	}
--- a/bvtable/writing.go
+++ b/bvtable/writing.go
@@ -228,7 +228,7 @@
 		bvplatform.Put{Key: changeKey(change.Version), Value: content},
 		bvplatform.Put{Key: attemptKey(change.Actor, change.Attempt), Value: encodeVersion(change.Version)})
 	for _, name := range names {
-		row, found := next.Exact(name)
+		row, found := next.ExactRow(name)
 		if !found {
 			transaction.Puts = append(transaction.Puts, bvplatform.Put{Key: rowKey(name)})
 			continue
