--- a/bvplatform/client.go
+++ b/bvplatform/client.go
@@ -26,8 +26,8 @@
 )
 
 // Client reaches a platform over HTTP. It implements Store, Objects, HostList
-// and EndpointList. Set Address before the first call; it is then safe for use
-// by many goroutines.
+// and EndpointList. Set Address before the first call; the client is then
+// safe for concurrent use.
 type Client struct {
 	Address string           // IP and port
 	Timeout bvclock.Duration // of one call; 0 means DefaultTimeout
@@ -57,8 +57,8 @@
 	return client.write(ctx, http.MethodPut, "/hosts/"+url.PathEscape(host.Name), host)
 }
 
-// PutEndpoint adds or updates an endpoint of the list. It lapses unless put
-// again within lapse; 0 means never.
+// PutEndpoint adds or updates an endpoint of the list. The entry lapses unless
+// it is put again within lapse; 0 means that it never lapses.
 func (client *Client) PutEndpoint(ctx context.Context, endpoint Endpoint, lapse bvclock.Duration) error {
 	path := fmt.Sprintf("/endpoints/%s?lapse_ms=%d", url.PathEscape(endpoint.Name), int64(lapse))
 	return client.write(ctx, http.MethodPut, path, endpoint)
@@ -88,21 +88,21 @@
 
 // Read implements Store.
 func (client *Client) Read(ctx context.Context, keys ...string) ([]Row, error) {
-	question := struct{ Keys []string }{keys}
+	parameters := struct{ Keys []string }{keys}
 	var body struct{ Rows []Row }
-	err := client.ask(ctx, "/table/read", question, &body)
+	err := client.query(ctx, "/table/read", parameters, &body)
 	return body.Rows, err
 }
 
 // Scan implements Store.
 func (client *Client) Scan(ctx context.Context, prefix, after string, limit int) ([]Row, error) {
-	question := struct {
+	parameters := struct {
 		Prefix string
 		After  string
 		Limit  int
 	}{prefix, after, limit}
 	var body struct{ Rows []Row }
-	err := client.ask(ctx, "/table/scan", question, &body)
+	err := client.query(ctx, "/table/scan", parameters, &body)
 	return body.Rows, err
 }
 
@@ -115,7 +115,7 @@
 // Object implements Objects.
 func (client *Client) Object(ctx context.Context, name string) ([]byte, error) {
 	content, err := client.exchange(ctx, http.MethodGet, objectPath(name), nil)
-	return content, withoutUnknown(err)
+	return content, unknownToUnavailable(err)
 }
 
 // DeleteObject implements Objects.
@@ -136,20 +136,20 @@
 func (client *Client) get(ctx context.Context, path string, answer any) error {
 	content, err := client.exchange(ctx, http.MethodGet, path, nil)
 	if err != nil {
-		return withoutUnknown(err)
+		return unknownToUnavailable(err)
 	}
 	return decode(content, answer)
 }
 
-// ask sends a question that changes nothing.
-func (client *Client) ask(ctx context.Context, path string, question, answer any) error {
-	encoded, err := json.Marshal(question)
+// query sends a read-only request with a body.
+func (client *Client) query(ctx context.Context, path string, parameters, answer any) error {
+	encoded, err := json.Marshal(parameters)
 	if err != nil {
 		return fmt.Errorf("platform: encoding: %w", err)
 	}
 	content, err := client.exchange(ctx, http.MethodPost, path, encoded)
 	if err != nil {
-		return withoutUnknown(err)
+		return unknownToUnavailable(err)
 	}
 	return decode(content, answer)
 }
@@ -170,9 +170,9 @@
 	return nil
 }
 
-// withoutUnknown turns an unknown outcome into an unavailable platform, for
+// unknownToUnavailable turns an unknown outcome into ErrUnavailable, for
 // calls that change nothing.
-func withoutUnknown(err error) error {
+func unknownToUnavailable(err error) error {
 	if errors.Is(err, ErrUnknown) {
 		return fmt.Errorf("%w: %v", ErrUnavailable, err)
 	}
@@ -181,8 +181,8 @@
 
 // exchange makes one HTTP exchange and returns the body of a good answer.
 //
-// The platform may lose its answer after the write took effect. The caller
-// sees a timeout, a reset or an EOF. Only a call that never had a connection
+// The platform's answer may be lost after the write took effect. The caller
+// sees a timeout, a reset or an EOF. Only a call that never got a connection
 // is known not to have been carried out; all others wrap ErrUnknown.
 func (client *Client) exchange(ctx context.Context, method, path string, body []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, client.timeout().Std())
@@ -195,12 +195,12 @@
 	}
 	response, err := client.connections().RoundTrip(request)
 	if err != nil {
-		return nil, NoAnswer(connected.Load(), err)
+		return nil, NoAnswerError(connected.Load(), err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	content, err := io.ReadAll(response.Body)
 	if err != nil {
-		return nil, NoAnswer(true, err)
+		return nil, NoAnswerError(true, err)
 	}
 	return content, statusError(response.StatusCode, content)
 }
@@ -211,7 +211,7 @@
 		return nil, fmt.Errorf("platform: %w", err)
 	}
 	// Without GetBody the transport can't send the request a second time when
-	// a reused connection breaks; the caller reads back instead.
+	// a reused connection breaks; the caller reads the row back instead.
 	request.GetBody = nil
 	if len(body) == 0 {
 		request.Body = io.NopCloser(bytes.NewReader(nil))
@@ -228,9 +228,9 @@
 	return "https://"
 }
 
-// NoAnswer returns the error of a call that got no answer: without a connection
-// it was not carried out, otherwise nobody can tell.
-func NoAnswer(connected bool, cause error) error {
+// NoAnswerError returns the error of a call that got no answer: ErrUnavailable
+// without a connection, since it was not carried out, otherwise ErrUnknown.
+func NoAnswerError(connected bool, cause error) error {
 	if connected {
 		return fmt.Errorf("%w: %v", ErrUnknown, cause)
 	}
@@ -242,7 +242,7 @@
 	case status < http.StatusMultipleChoices:
 		return nil
 	case status == http.StatusConflict:
-		return conflictFrom(content)
+		return decodeConflict(content)
 	case status == http.StatusNotFound:
 		return ErrNotFound
 	case status == http.StatusServiceUnavailable, status == http.StatusTooManyRequests:
@@ -253,7 +253,7 @@
 	return fmt.Errorf("platform: status %d: %s", status, content[:min(len(content), maxErrorBody)])
 }
 
-func conflictFrom(content []byte) error {
+func decodeConflict(content []byte) error {
 	conflict := &ConflictError{}
 	if err := json.Unmarshal(content, conflict); err != nil {
 		return fmt.Errorf("platform: conflict can't be read: %w", err)
--- a/bvplatform/handler.go
+++ b/bvplatform/handler.go
@@ -30,24 +30,24 @@
 }
 
 func (handler *storeHandler) read(writer http.ResponseWriter, request *http.Request) {
-	var question struct{ Keys []string }
-	if !decodeRequest(writer, request, &question) {
+	var parameters struct{ Keys []string }
+	if !decodeRequest(writer, request, &parameters) {
 		return
 	}
-	rows, err := handler.store.Read(request.Context(), question.Keys...)
+	rows, err := handler.store.Read(request.Context(), parameters.Keys...)
 	WriteAnswer(writer, struct{ Rows []Row }{rows}, err)
 }
 
 func (handler *storeHandler) scan(writer http.ResponseWriter, request *http.Request) {
-	var question struct {
+	var parameters struct {
 		Prefix string
 		After  string
 		Limit  int
 	}
-	if !decodeRequest(writer, request, &question) {
+	if !decodeRequest(writer, request, &parameters) {
 		return
 	}
-	rows, err := handler.store.Scan(request.Context(), question.Prefix, question.After, question.Limit)
+	rows, err := handler.store.Scan(request.Context(), parameters.Prefix, parameters.After, parameters.Limit)
 	WriteAnswer(writer, struct{ Rows []Row }{rows}, err)
 }
 
@@ -59,8 +59,8 @@
 	return true
 }
 
-// WriteAnswer writes a value, or an error with the status from which Client
-// makes the same error again.
+// WriteAnswer writes a value, or an error with the status that Client decodes
+// into the same error.
 func WriteAnswer(writer http.ResponseWriter, value any, err error) {
 	status := http.StatusOK
 	var conflict *ConflictError
@@ -83,5 +83,5 @@
 	}
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
-	_ = json.NewEncoder(writer).Encode(value) // the caller has gone
+	_ = json.NewEncoder(writer).Encode(value) // fails only if the caller has disconnected
 }
--- a/bvplatform/memory.go
+++ b/bvplatform/memory.go
@@ -10,17 +10,17 @@
 	"sync"
 )
 
-// Memory is a platform inside the process, without faults and without lag.
-// The zero value is an empty platform, ready to use by many goroutines.
+// Memory is an in-memory platform without faults and without lag. The zero
+// value is an empty platform; it is safe for concurrent use.
 type Memory struct {
-	mutex   sync.Mutex
-	rows    map[string]Row
-	objects map[string][]byte
-	hosts   map[string]Host
-	ends    map[string]Endpoint
-	version int64
-	writes  int64
-	reads   int64
+	mutex           sync.Mutex
+	rows            map[string]Row
+	objects         map[string][]byte
+	hosts           map[string]Host
+	endpointsByName map[string]Endpoint
+	version         int64
+	writes          int64
+	reads           int64
 }
 
 // Commit implements Store.
@@ -40,8 +40,8 @@
 	if memory.rows == nil {
 		memory.rows = make(map[string]Row)
 	}
-	// One counter for all rows: a row that is deleted and made again must not
-	// come back with a version that an old check still expects.
+	// One counter for all rows: a row that is deleted and created again must not
+	// get a version that an old check still expects.
 	memory.version++
 	for _, put := range transaction.Puts {
 		memory.apply(put, transaction.Attempt)
@@ -101,7 +101,7 @@
 	memory.mutex.Lock()
 	defer memory.mutex.Unlock()
 	memory.writes++
-	if kept, found := memory.objects[name]; found && !bytes.Equal(kept, content) {
+	if existing, found := memory.objects[name]; found && !bytes.Equal(existing, content) {
 		return fmt.Errorf("platform: object %s exists with other content", name)
 	}
 	if memory.objects == nil {
@@ -175,8 +175,8 @@
 	memory.mutex.Lock()
 	defer memory.mutex.Unlock()
 	memory.reads++
-	endpoints := make([]Endpoint, 0, len(memory.ends))
-	for _, endpoint := range memory.ends {
+	endpoints := make([]Endpoint, 0, len(memory.endpointsByName))
+	for _, endpoint := range memory.endpointsByName {
 		endpoints = append(endpoints, endpoint)
 	}
 	slices.SortFunc(endpoints, func(a, b Endpoint) int { return strings.Compare(a.Name, b.Name) })
@@ -187,15 +187,15 @@
 func (memory *Memory) PutEndpoint(endpoint Endpoint) {
 	memory.mutex.Lock()
 	defer memory.mutex.Unlock()
-	if memory.ends == nil {
-		memory.ends = make(map[string]Endpoint)
+	if memory.endpointsByName == nil {
+		memory.endpointsByName = make(map[string]Endpoint)
 	}
-	memory.ends[endpoint.Name] = endpoint
+	memory.endpointsByName[endpoint.Name] = endpoint
 }
 
 // RemoveEndpoint takes an endpoint off the list.
 func (memory *Memory) RemoveEndpoint(name string) {
 	memory.mutex.Lock()
 	defer memory.mutex.Unlock()
-	delete(memory.ends, name)
+	delete(memory.endpointsByName, name)
 }
--- a/bvplatform/memory_test.go
+++ b/bvplatform/memory_test.go
@@ -20,7 +20,7 @@
 	require.Zero(t, rows[0].Version)
 }
 
-// Guards against a row that is made again under an old version.
+// Guards against a recreated row that gets an old version.
 func TestVersionOfRecreatedRowIsNew(t *testing.T) {
 	memory := &Memory{}
 	create := Transaction{Puts: []Put{{Key: "a", Value: []byte("1")}}}
@@ -40,7 +40,7 @@
 	require.ErrorAs(t, err, &conflict)
 }
 
-// Guards against rows of one transaction with versions of their own.
+// Guards against rows of one transaction that get different versions.
 func TestCommitReturnsTheVersionOfAllItsRows(t *testing.T) {
 	memory := &Memory{}
 	version, err := memory.Commit(t.Context(), Transaction{
--- a/bvplatform/store.go
+++ b/bvplatform/store.go
@@ -1,10 +1,10 @@
-// Package bvplatform is the one door to the platform: its transactional table
-// service, its object store and its list of hosts. Another platform plugs in
-// by implementing Store, Objects and HostList; nothing else in the project
-// knows how the platform is reached.
+// Package bvplatform defines the project's interface to the platform: its
+// transactional table service, its object store and its list of hosts. Another
+// platform is supported by implementing Store, Objects and HostList; no other
+// package depends on how the platform is reached.
 //
-// Memory implements all three inside the process, for tests and for the
-// platform stand-in. Client speaks the stand-in's HTTP protocol.
+// Memory implements all three in memory, for tests and for the platform
+// stand-in. Client implements the stand-in's HTTP protocol.
 //
 // # Usage
 //
@@ -46,9 +46,9 @@
 	Value []byte
 }
 
-// Transaction is applied whole or not at all. It counts as one write.
+// Transaction is applied atomically. It counts as one write.
 type Transaction struct {
-	Attempt string // unique over all hosts and for all time
+	Attempt string // unique over all hosts, never reused
 	Checks  []Check
 	Puts    []Put
 }
@@ -56,12 +56,12 @@
 // Store is the platform's transactional table service.
 type Store interface {
 	// Commit applies the transaction if all its checks hold, and returns the
-	// transaction's version, which all rows that it put bear from now on.
-	// Versions rise with each transaction and are never used twice.
+	// transaction's version, which becomes the version of all rows that it put.
+	// Versions increase with each transaction and are never reused.
 	//
 	// It returns a *ConflictError when a check failed, and an error wrapping
-	// ErrUnknown when the outcome can't be told. Any other error means not
-	// applied.
+	// ErrUnknown when the outcome is unknown. Any other error means that the
+	// transaction was not applied.
 	Commit(ctx context.Context, transaction Transaction) (version int64, err error)
 	// Read returns one row per key, in order; absent rows have Version 0.
 	Read(ctx context.Context, keys ...string) ([]Row, error)
@@ -80,7 +80,7 @@
 
 //go:generate stringer -type=HostState -linecomment -output=hoststate_string.go
 
-// HostState is what the lagging list says of a host.
+// HostState is the state of a host on the platform's lagging list.
 type HostState int
 
 // The states of a host.
@@ -106,7 +106,7 @@
 	Announce(ctx context.Context, host Host) error
 }
 
-// ErrUnknown marks a write whose outcome can't be told.
+// ErrUnknown marks a write whose outcome is unknown.
 var ErrUnknown = errors.New("platform: outcome of write unknown")
 
 // ErrUnavailable marks a call that the platform did not carry out.
@@ -122,8 +122,8 @@
 // ConflictError names the keys whose checks failed. Nothing was applied.
 type ConflictError struct {
 	Keys []string
-	// Rows are the checked rows as they are now, where the platform tells
-	// them; it saves reading them before the next try.
+	// Rows are the current checked rows, if the platform returns them; this
+	// saves reading them before the next attempt.
 	Rows []Row `json:",omitempty"`
 }
 
--- a/bvplatform/sweep.go
+++ b/bvplatform/sweep.go
@@ -6,21 +6,21 @@
 )
 
 const (
-	// sweepRows is how many rows one sweep looks at.
-	sweepRows = 500
-	// sweepBatch is how many rows one transaction removes; the platform takes
-	// 100 entries, and each row is a condition and a removal.
-	sweepBatch = 50
+	// sweepScanRows is the maximum number of rows that one sweep scans.
+	sweepScanRows = 500
+	// sweepBatchRows is the maximum number of rows that one transaction removes; the
+	// platform accepts 100 entries, and each row takes a check and a removal.
+	sweepBatchRows = 50
 )
 
-// Sweep looks at rows whose keys begin with prefix, which must lie together, and
-// removes those that are expired. A row that is changed meanwhile stays. It
-// returns how many were removed.
+// Sweep scans rows whose keys begin with prefix, which must lie in one partition, and
+// removes those that are expired. A row that is changed concurrently is not removed.
+// It returns the number of removed rows.
 //
-// Rows are removed by the host that wrote them, as a rule. Sweep is for the rows
-// of hosts that died: nothing in the platform's store expires by itself.
+// Normally the host that wrote a row removes it. Sweep removes the rows of hosts that
+// crashed: the platform's store has no expiry.
 func Sweep(ctx context.Context, store Store, prefix string, expired func(Row) bool) (int, error) {
-	rows, err := store.Scan(ctx, prefix, "", sweepRows)
+	rows, err := store.Scan(ctx, prefix, "", sweepScanRows)
 	if err != nil {
 		return 0, err
 	}
@@ -32,7 +32,7 @@
 		}
 		batch.Checks = append(batch.Checks, Check{Key: row.Key, Version: row.Version})
 		batch.Puts = append(batch.Puts, Put{Key: row.Key})
-		if len(batch.Puts) < sweepBatch {
+		if len(batch.Puts) < sweepBatchRows {
 			continue
 		}
 		if removed, err = removeBatch(ctx, store, batch, removed); err != nil {
@@ -44,7 +44,7 @@
 }
 
 // removeBatch removes the rows of a batch unless one of them has changed; the
-// next sweep meets them again.
+// next sweep retries them. It returns the total number of removed rows.
 func removeBatch(ctx context.Context, store Store, batch Transaction, before int) (int, error) {
 	if len(batch.Puts) == 0 {
 		return before, nil
--- a/bvrouter/endpoint_follow.go
+++ b/bvrouter/endpoint_follow.go
@@ -62,7 +62,7 @@
 		router.applyEndpoints(answer)
 		// Some answers come early without a change, since endpoints write their entries
 		// at each heartbeat: with 64 endpoints, they double the number of calls.
-		if !answer.changes.Empty() && !answer.relayed {
+		if !answer.changes.IsEmpty() && !answer.relayed {
 			wait = min(wait, bvclock.Duration(pausePerEndpoint*float64(router.listedCount())))
 		}
 		pause(ctx, wait-router.clock.Now().Sub(requestedAt))
@@ -131,7 +131,7 @@
 // request for its full wait without a change, its answer states that nothing had changed
 // by the end of the wait.
 func asOfTime(requestedAt, answeredAt bvclock.Time, wait bvclock.Duration, changes bvplatform.EndpointChanges) bvclock.Time {
-	if changes.Empty() && answeredAt.Sub(requestedAt) >= wait {
+	if changes.IsEmpty() && answeredAt.Sub(requestedAt) >= wait {
 		return requestedAt.Add(wait)
 	}
 	return requestedAt
--- a/bvrouter/endpoint_list.go
+++ b/bvrouter/endpoint_list.go
@@ -60,7 +60,7 @@
 	list.retainMissing = list.everMissed && now.Sub(list.reachableSince) < reregistrationTime
 	list.next = changes.Next
 	if changes.Whole || list.listed == nil || substituted || retained || list.retainMissing {
-		if changes.Empty() && !retained && !substituted {
+		if changes.IsEmpty() && !retained && !substituted {
 			return listUpdate{}, false
 		}
 		list.rebuild(changes)
