--- a/bvdispatch/outlier.go
+++ b/bvdispatch/outlier.go
@@ -23,7 +23,8 @@
 	// a pause.
 	failureCostMs = 1000
 	// slowRatio is the ratio of an endpoint's pace to the mean of its service above which
-	// the endpoint counts as slow. Full engines are slower than idle ones, but no outliers.
+	// the endpoint counts as slow. Full engines are slower than idle ones, but are not
+	// outliers.
 	slowRatio = 2
 	// hangTimeout is the time after which a withdrawn call without any answer counts as
 	// failed.
--- a/bvdispatch/poison.go
+++ b/bvdispatch/poison.go
@@ -11,8 +11,8 @@
 	// crashWindow is the time after a broken call within which the loss of its endpoint
 	// counts as a crash caused by the call.
 	crashWindow = 2 * bvclock.Second
-	// crashRetention is how long crashes are retained after the last one: the endpoint
-	// restarts within some seconds, and the caller retries as soon.
+	// crashRetention is how long crashes are retained after the last one: both the restart
+	// of the endpoint and the caller's retry take only some seconds.
 	crashRetention = bvclock.Minute
 	// crashReportTime is how long a crash is included in digests, since some digests are
 	// lost.
--- a/bvdispatch/pool.go
+++ b/bvdispatch/pool.go
@@ -13,7 +13,7 @@
 // # Usage
 //
 //	pool := bvdispatch.NewPool(seed, zone)
-//	pool.SetEndpoints(now, endpoints)
+//	pool.SetEndpoints(endpoints)
 //	chosen, found := pool.Choose(now, request)
 //	pool.BeginCall(now, chosen.ID(), request)
 //	pool.EndCall(now, chosen.ID(), bvdispatch.Result{Outcome: bvdispatch.Served, Duration: duration})
--- a/bvdispatch/pool_test.go
+++ b/bvdispatch/pool_test.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// Guards against prompts that are read again because another host had sent their cached
-// parts.
+// Guards against prompts that are read again because this host ignores which endpoint got
+// them from another host.
 func TestPlacementOfAnotherHostIsUsed(t *testing.T) {
 	pool := newTestPool(4)
 	for _, part := range prompt(1, 2).Prefix {
--- a/bvdispatch/reading.go
+++ b/bvdispatch/reading.go
@@ -25,7 +25,7 @@
 	// prompts where they are cached; if reading weighed much, its calls would pile up at
 	// these engines.
 	defaultReadingRate = 336
-	// leastRate and mostRate bound the estimate, in tokens a millisecond.
+	// minReadingRate and maxReadingRate bound the estimate, in tokens a millisecond.
 	minReadingRate = 1
 	maxReadingRate = 5000
 )
--- a/bvdispatch/reading_test.go
+++ b/bvdispatch/reading_test.go
@@ -13,7 +13,7 @@
 
 // timeToFirstEvent returns how long a call takes until its first event at engines that read
 // the given number of tokens in a millisecond: the time to read the prompt, for one or two
-// steps, and for other calls meanwhile.
+// steps of the engine, and for other calls meanwhile.
 func timeToFirstEvent(random *rand.Rand, tokens int, rate float64) bvclock.Duration {
 	return bvclock.Duration(float64(tokens)/rate + 6 + 12*random.ExpFloat64())
 }
--- a/bventry/entry.go
+++ b/bventry/entry.go
@@ -28,7 +28,7 @@
 const maxHostsPerCall = 5
 
 // retryAfterNoOwner is the time after which a caller should retry when no host accepted
-// the program: within it, the platform's list no longer has a host that failed.
+// the program: by then, the platform's list shows that a host has failed.
 const retryAfterNoOwner = 2 * bvclock.Second
 
 // Owner runs calls of the programs that this host owns.
--- a/bvquota/account.go
+++ b/bvquota/account.go
@@ -13,7 +13,7 @@
 	cap          Cap
 	createdAt    bvclock.Time // when this host first got the cap
 	size         float64      // capacity of the bucket, in requests
-	level        float64      // requests in the bucket; below 0 where hosts ran more
+	level        float64      // requests in the bucket; below 0 if hosts ran more
 	filledAt     bvclock.Time
 	initialLevel float64 // level at the start of this host, until it is added to level
 	overflow     float64 // requests that it gained recently while it was full
@@ -59,8 +59,8 @@
 		account.initialLevel = 0
 	}
 	account.level += gained * share
-	if over := account.level - account.size; over > 0 {
-		account.overflow = min(account.overflow+over, account.cap.Rate*seconds(overflowWindow))
+	if excess := account.level - account.size; excess > 0 {
+		account.overflow = min(account.overflow+excess, account.cap.Rate*seconds(overflowWindow))
 		account.level = account.size
 	}
 }
@@ -156,10 +156,10 @@
 	account.level += account.reclaimOverflow(float64(unreported), silentFor)
 }
 
-// reclaimOverflow returns the requests that the bucket would have gained if late reports had
-// arrived in time, when it only seemed full. Otherwise a host that was disconnected for some
-// seconds would take all that the others ran meanwhile from the bucket at once, and refuse
-// requests for as long.
+// reclaimOverflow returns the requests that the bucket would have gained instead of
+// overflowing if late reports had arrived in time. Without it, a host that was disconnected
+// for some seconds would take all requests that the others ran meanwhile from the bucket at
+// once, and refuse requests for as long.
 func (account *account) reclaimOverflow(requests float64, silentFor bvclock.Duration) float64 {
 	reclaimed := min(requests, account.overflow, account.cap.Rate*seconds(silentFor))
 	account.overflow -= reclaimed
--- a/bvquota/promise_test.go
+++ b/bvquota/promise_test.go
@@ -193,7 +193,7 @@
 	})
 }
 
-// Guards against a window above the cap when hosts that have just started fail again.
+// Guards against a window above the cap when hosts fail shortly after their start.
 func TestNoWindowExceedsTheCapOnSeedsThatFailed(t *testing.T) {
 	failed := []struct {
 		rate, demand float64
--- a/bvquota/quota.go
+++ b/bvquota/quota.go
@@ -241,14 +241,14 @@
 	return Decision{}
 }
 
-// isStarting reports whether the other hosts' requests may not have been reported yet since
-// this host got the cap.
+// isStarting reports whether this host has had the cap for less than a window, so that not
+// all requests of the other hosts may have been reported yet.
 func (limiter *Limiter) isStarting(now bvclock.Time, account *account) bool {
 	return !limiter.bounds.StartFull && now.Sub(account.createdAt) < limiter.bounds.Window
 }
 
-// mustAsk reports whether a bucket may hold less than this host's copy: requests of other
-// hosts are reported late, and all hosts may take the rest of the bucket at once.
+// mustAsk reports whether the bucket may in fact hold less than this host's copy: requests
+// of other hosts are reported late, and all hosts may use up the bucket at the same time.
 func (limiter *Limiter) mustAsk(now bvclock.Time, account *account) bool {
 	unreported := max(account.currentRate(now), account.cap.Rate) * seconds(limiter.reportLag)
 	if account.available() < 1+unreported {
