--- a/bvcaller/api.go
+++ b/bvcaller/api.go
@@ -77,8 +77,8 @@
 
 // Measure counts what callers got.
 type Measure interface {
-	Answered()
-	Refused(member string, err error)
+	CountAnswer()
+	CountRefusal(member string, err error)
 }
 
 // New returns the API.
--- a/bvcaller/chat.go
+++ b/bvcaller/chat.go
@@ -187,7 +187,7 @@
 		api.fail(writer, request, err)
 		return
 	}
-	api.measure.Answered()
+	api.measure.CountAnswer()
 	writer.Header().Set("Content-Type", "application/json")
 	_, _ = writer.Write(body)
 }
--- a/bvcaller/failure.go
+++ b/bvcaller/failure.go
@@ -54,7 +54,7 @@
 
 // refused counts and logs an error that a caller gets.
 func (api *API) refused(request *http.Request, err error) {
-	api.measure.Refused(memberOf(request), err)
+	api.measure.CountRefusal(memberOf(request), err)
 	bvtrace.LogHop(request.Context(), api.log, "caller was refused", err)
 }
 
--- a/bvcaller/service.go
+++ b/bvcaller/service.go
@@ -54,7 +54,7 @@
 		api.fail(writer, request, err)
 		return
 	}
-	api.measure.Answered()
+	api.measure.CountAnswer()
 	if answer.ContentType != "" {
 		writer.Header().Set("Content-Type", answer.ContentType)
 	}
--- a/bvcaller/stream.go
+++ b/bvcaller/stream.go
@@ -64,7 +64,7 @@
 		api.failStream(stream, request, err)
 		return
 	}
-	api.measure.Answered()
+	api.measure.CountAnswer()
 }
 
 // failStream ends a stream with a typed error in place of [DONE].
--- a/bvclock/clock.go
+++ b/bvclock/clock.go
@@ -7,7 +7,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock tells the time. Implementations are safe for concurrent use.
+// Clock returns the current time. Implementations are safe for concurrent use.
 type Clock interface {
 	Now() Time
 }
@@ -16,9 +16,9 @@
 
 // Boot returns the clock that counts milliseconds since this machine booted.
 //
-// It reads CLOCK_BOOTTIME, which goes on while the machine is suspended.
-// A holder of a lease that was suspended past its end must see that it has
-// lapsed: CLOCK_MONOTONIC stands still during a suspension and would let it
+// It reads CLOCK_BOOTTIME, which advances while the machine is suspended. A
+// process that was suspended past the end of its lease must see that the lease
+// has expired: CLOCK_MONOTONIC stops during a suspension, so the process would
 // act as if it still held the lease.
 func Boot() Clock {
 	return bootClock{}
@@ -34,13 +34,13 @@
 
 var processStart = time.Now()
 
-// Manual is a clock that moves only when told to. The zero value stands at
-// zero and is ready to use.
+// Manual is a clock that moves only by Advance. The zero value shows zero and is
+// ready to use.
 type Manual struct {
 	now atomic.Int64
 }
 
-// Now returns the time that was last set.
+// Now returns the current time of the clock.
 func (manual *Manual) Now() Time {
 	return Time(manual.now.Load())
 }
--- a/bvclock/time.go
+++ b/bvclock/time.go
@@ -2,7 +2,7 @@
 // milliseconds, as a point in time or as a length of time.
 //
 // A Time is read from a Clock. Times of two different clocks must not be
-// compared: a window that one host opened is judged by that host alone.
+// compared: only the host that opened a time window may check it.
 //
 // # Usage
 //
@@ -12,7 +12,7 @@
 //		return bvverdict.Refuse(bvverdict.DeadlinePassed, "deadline passed")
 //	}
 //
-// Tests use a Manual clock and move it by hand.
+// Tests use a Manual clock and advance it explicitly.
 package bvclock
 
 import (
@@ -60,7 +60,7 @@
 }
 
 // Seconds returns the duration in whole seconds, rounded up, as the
-// Retry-After header wants it (RFC 9110, section 10.2.3).
+// Retry-After header requires (RFC 9110, section 10.2.3).
 func (duration Duration) Seconds() int64 {
 	if duration <= 0 {
 		return 0
--- a/bvclock/time_test.go
+++ b/bvclock/time_test.go
@@ -20,12 +20,12 @@
 	require.GreaterOrEqual(t, clock.Now().Sub(before), 19*Millisecond)
 }
 
-func TestAlarmRingsOnceForTheLastTime(t *testing.T) {
-	var alarm Alarm
-	rung := make(chan string, 2)
-	alarm.Set(0, 3600*Time(Second), func() { rung <- "first" })
-	alarm.Set(0, 1, func() { rung <- "second" })
-	require.Equal(t, "second", <-rung)
-	alarm.Clear()
-	require.Empty(t, rung)
+func TestTimerFiresOnceForTheLastTime(t *testing.T) {
+	var timer Timer
+	fired := make(chan string, 2)
+	timer.Set(0, 3600*Time(Second), func() { fired <- "first" })
+	timer.Set(0, 1, func() { fired <- "second" })
+	require.Equal(t, "second", <-fired)
+	timer.Stop()
+	require.Empty(t, fired)
 }
--- a/bvcommand/fleet.go
+++ b/bvcommand/fleet.go
@@ -49,12 +49,12 @@
 	if err != nil {
 		return usageError{err}
 	}
-	load := bvfleet.Crowded(options.hosts)
+	load := bvfleet.SurgeLoad(options.hosts)
 	if options.hosts < load.Zones || options.crowd <= 0 {
 		return usageError{fmt.Errorf("fleet: %d hosts and a crowd of %g can't be played", options.hosts, options.crowd)}
 	}
-	load.Without = without
-	load.Crowds[0].Factor = options.crowd
+	load.Disabled = without
+	load.Surges[0].Factor = options.crowd
 	for seed := range options.seeds {
 		load.Seed = uint64(seed + 1)
 		if err := compare(to, load); err != nil {
@@ -74,8 +74,8 @@
 		{name: "digests", totals: true},
 		{name: "trackers", totals: true, trackers: true},
 	} {
-		load.Totals, load.Trackers = known.totals, known.trackers
-		if _, err := fmt.Fprintf(to, "seed %d  %-9s %s\n", load.Seed, known.name, bvfleet.Play(load)); err != nil {
+		load.GlobalDigests, load.Trackers = known.totals, known.trackers
+		if _, err := fmt.Fprintf(to, "seed %d  %-9s %s\n", load.Seed, known.name, bvfleet.Simulate(load)); err != nil {
 			return fmt.Errorf("fleet: %w", err)
 		}
 	}
--- a/bvcommand/fleet_caps.go
+++ b/bvcommand/fleet_caps.go
@@ -54,12 +54,12 @@
 	}
 	for seed := range options.seeds {
 		load := bvfleet.CapLoad{
-			Seed: uint64(seed + 1), Hosts: options.hosts, Workspaces: options.workspaces, PerHost: 12,
-			Headroom: options.headroom, Length: 24 * bvclock.Second, Crowd: options.crowd,
-			Lost: options.lost, Lag: bvclock.Duration(options.lag),
+			Seed: uint64(seed + 1), Hosts: options.hosts, Workspaces: options.workspaces, RatePerHost: 12,
+			Headroom: options.headroom, Duration: 24 * bvclock.Second, SurgeFactor: options.crowd,
+			HostsFail: options.lost, ReportLag: bvclock.Duration(options.lag),
 		}
 		for _, way := range bvfleet.CapWays() {
-			if _, err := fmt.Fprintf(to, "seed %d  %-9s %s\n", load.Seed, way, bvfleet.PlayCaps(load, way)); err != nil {
+			if _, err := fmt.Fprintf(to, "seed %d  %-9s %s\n", load.Seed, way, bvfleet.SimulateCaps(load, way)); err != nil {
 				return fmt.Errorf("fleet caps: %w", err)
 			}
 		}
--- a/bvdaemon/commit.go
+++ b/bvdaemon/commit.go
@@ -24,7 +24,7 @@
 	daemon    *Daemon
 	mutex     sync.Mutex
 	committer *bvcommit.Committer
-	alarm     bvclock.Alarm
+	alarm     bvclock.Timer
 }
 
 func newCommitLoop(daemon *Daemon) *commitLoop {
@@ -83,7 +83,7 @@
 func (loop *commitLoop) schedule(now bvclock.Time) {
 	next, ok := loop.committer.Next()
 	if !ok {
-		loop.alarm.Clear()
+		loop.alarm.Stop()
 		return
 	}
 	loop.alarm.Set(now, next, func() { loop.do(func(bvclock.Time) {}) })
--- a/bvexperiment/endpoint.go
+++ b/bvexperiment/endpoint.go
@@ -48,7 +48,7 @@
 		Incarnation: fmt.Sprintf("%s/%d", endpoint.name, endpoint.incarnation),
 		Slots:       endpoint.model.Config().Slots,
 		CacheTokens: endpoint.model.Config().CacheTokens,
-		Running:     endpoint.model.Running() + endpoint.model.Waiting(),
+		Running:     endpoint.model.RunningCalls() + endpoint.model.WaitingCalls(),
 		ReportedAt:  now,
 		Zone:        endpoint.zone,
 	}
--- a/bvexperiment/fault.go
+++ b/bvexperiment/fault.go
@@ -68,7 +68,7 @@
 
 func (simulation *simulation) loseCalls(crashed *endpoint) {
 	for _, call := range simulation.inFlight(crashed) {
-		simulation.records.lose(crashed.model.Spent(call.model.ID))
+		simulation.records.lose(crashed.model.CallService(call.model.ID))
 	}
 	lost := crashed.model.Crash(simulation.now)
 	crashed.changed()
--- a/bvexperiment/oracle.go
+++ b/bvexperiment/oracle.go
@@ -28,7 +28,7 @@
 
 // cached implements oracle.
 func (simulation *simulation) cached(endpoint, member, program string) int {
-	return simulation.byName[endpoint].model.Cached(member, program)
+	return simulation.byName[endpoint].model.CachedPrefixTokens(member, program)
 }
 
 // prefillSeconds implements oracle.
--- a/bvexperiment/program.go
+++ b/bvexperiment/program.go
@@ -79,7 +79,7 @@
 	program.history = call.model.PromptTokens + call.model.OutputTokens
 	program.from = call.endpoint.name
 	program.held = program.history
-	program.root.attained += workOf(bvmodel.Served{
+	program.root.attained += workOf(bvmodel.Service{
 		Prefilled: float64(call.model.PromptTokens - cached),
 		Decoded:   float64(call.model.OutputTokens),
 	})
--- a/bvexperiment/records.go
+++ b/bvexperiment/records.go
@@ -65,7 +65,7 @@
 
 func (records *records) fail(*program) { records.failed++ }
 
-func (records *records) lose(spent bvmodel.Served) {
+func (records *records) lose(spent bvmodel.Service) {
 	records.crashLost++
 	records.lost += float64(workOf(spent))
 }
@@ -89,7 +89,7 @@
 func (simulation *simulation) servedTo(member string) float64 {
 	total := 0.0
 	for _, endpoint := range simulation.endpoints {
-		total += float64(workOf(endpoint.model.Served(member)))
+		total += float64(workOf(endpoint.model.MemberService(member)))
 	}
 	return total
 }
@@ -132,6 +132,6 @@
 }
 
 // workOf weighs service as the product's own accounting does.
-func workOf(served bvmodel.Served) bvgate.Work {
+func workOf(served bvmodel.Service) bvgate.Work {
 	return bvgate.Cost{}.Work(int(served.Prefilled), int(served.Decoded))
 }
--- a/bvfleet/caps.go
+++ b/bvfleet/caps.go
@@ -19,8 +19,8 @@
 const (
 	// SplitCaps gives each host the same part of each cap.
 	SplitCaps CapWay = iota // split
-	// ToldCaps goes by what hosts tell each other of their requests.
-	ToldCaps // told
+	// ReportedCaps goes by the usage that hosts report to each other.
+	ReportedCaps // told
 	// AllocatedCaps does so far from the cap, and asks the workspace's allocator near it.
 	AllocatedCaps // allocator
 	// CentralCaps asks the allocator for each request.
@@ -28,42 +28,42 @@
 )
 
 // CapWays returns all ways.
-func CapWays() []CapWay { return []CapWay{SplitCaps, ToldCaps, AllocatedCaps, CentralCaps} }
+func CapWays() []CapWay { return []CapWay{SplitCaps, ReportedCaps, AllocatedCaps, CentralCaps} }
 
 // CapLoad is a load of workspaces with usage caps.
 type CapLoad struct {
-	Seed       uint64
-	Hosts      int
-	Workspaces int
-	PerHost    float64 // requests a second
-	Headroom   float64 // of a cap, over the mean of its workspace's requests
-	Length     bvclock.Duration
-	Crowd      float64          // factor of all requests in the middle third
-	Lost       bool             // all hosts are lost at two thirds
-	Lag        bvclock.Duration // within which hosts hear of each other's requests
+	Seed        uint64
+	Hosts       int
+	Workspaces  int
+	RatePerHost float64 // requests a second
+	Headroom    float64 // of a cap, over the mean of its workspace's requests
+	Duration    bvclock.Duration
+	SurgeFactor float64          // factor of all requests in the middle third
+	HostsFail   bool             // all hosts are lost at two thirds
+	ReportLag   bvclock.Duration // within which hosts hear of each other's requests
 	// Unanswered is the share of the questions that the first allocator does not answer,
 	// so that the second one is asked.
-	Unanswered float64
+	UnansweredShare float64
 }
 
 // CapResult is what callers got.
 type CapResult struct {
 	Requests int
-	Run      int
+	Granted  int
 	// RefusedBelow are requests that were refused and that a single bucket for all hosts
 	// would have granted; RunAbove, those that ran and that it would have refused. What
 	// one has granted is missing for the next, so that their difference tells more.
-	RefusedBelow int
-	RunAbove     int
-	WorstWindow  float64 // requests in a window, as a share of what the bounds allow
-	Asks         int     // questions to allocators
+	RefusedBelow      int
+	GrantedAbove      int
+	WorstWindow       float64 // requests in a window, as a share of what the bounds allow
+	AllocatorRequests int     // questions to allocators
 }
 
 // String shows the figures in one line.
 func (result CapResult) String() string {
 	share := func(count int) float64 { return float64(count) / float64(max(result.Requests, 1)) }
 	return fmt.Sprintf("requests %d, run %.3f, refused below the cap %.4f, run above %.4f, worst window %.2f of the bound, asks a request %.3f",
-		result.Requests, share(result.Run), share(result.RefusedBelow), share(result.RunAbove), result.WorstWindow, share(result.Asks))
+		result.Requests, share(result.Granted), share(result.RefusedBelow), share(result.GrantedAbove), result.WorstWindow, share(result.AllocatorRequests))
 }
 
 const (
@@ -79,7 +79,7 @@
 var capBounds = bvquota.Bounds{Window: 5 * bvclock.Second, OverRatio: 0.1, Slack: 20}
 
 // capPlay is a load under way.
-type capPlay struct {
+type capSimulation struct {
 	load    CapLoad
 	way     CapWay
 	random  *rand.Rand
@@ -105,16 +105,16 @@
 	uses []bvquota.Usage
 }
 
-// PlayCaps plays a load to its end, by one way.
-func PlayCaps(load CapLoad, way CapWay) CapResult {
-	play := &capPlay{
+// SimulateCaps simulates a load to its end with one strategy.
+func SimulateCaps(load CapLoad, way CapWay) CapResult {
+	play := &capSimulation{
 		load: load, way: way, random: rand.New(rand.NewPCG(load.Seed, load.Seed)), clock: &bvclock.Manual{},
 		due: make(map[bvclock.Time][]int), mail: make(map[bvclock.Time][]capMail), ran: make([][]bvclock.Time, load.Workspaces),
 	}
 	play.build()
-	lostAt := bvclock.Time(load.Length * 2 / 3)
-	for now := play.clock.Advance(capStep); now < bvclock.Time(load.Length); now = play.clock.Advance(capStep) {
-		if load.Lost && now >= lostAt && now < lostAt.Add(capStep) {
+	lostAt := bvclock.Time(load.Duration * 2 / 3)
+	for now := play.clock.Advance(capStep); now < bvclock.Time(load.Duration); now = play.clock.Advance(capStep) {
+		if load.HostsFail && now >= lostAt && now < lostAt.Add(capStep) {
 			play.startHosts()
 		}
 		play.deliver(now)
@@ -129,14 +129,14 @@
 	return play.result
 }
 
-func (play *capPlay) build() {
+func (play *capSimulation) build() {
 	sum := 0.0
 	for rank := range play.load.Workspaces {
 		weight := math.Pow(float64(rank+1), -capSkew)
 		play.weights = append(play.weights, weight)
 		sum += weight
 	}
-	total := play.load.PerHost * float64(play.load.Hosts)
+	total := play.load.RatePerHost * float64(play.load.Hosts)
 	for rank := range play.weights {
 		play.weights[rank] /= sum
 		rate := math.Ceil(play.load.Headroom * total * play.weights[rank])
@@ -149,15 +149,15 @@
 	play.startHosts()
 }
 
-func (play *capPlay) newLimiter(hosts int, bounds bvquota.Bounds, caps []bvquota.Cap) *bvquota.Limiter {
+func (play *capSimulation) newLimiter(hosts int, bounds bvquota.Bounds, caps []bvquota.Cap) *bvquota.Limiter {
 	limiter := bvquota.New(play.clock, bounds)
-	limiter.SetHosts(hosts, hosts, play.load.Lag)
+	limiter.SetHosts(hosts, hosts, play.load.ReportLag)
 	limiter.SetCaps(caps)
 	return limiter
 }
 
 // startHosts starts all hosts anew.
-func (play *capPlay) startHosts() {
+func (play *capSimulation) startHosts() {
 	caps, known, bounds := play.caps, play.load.Hosts, capBounds
 	bounds.StartFull = play.born == 0
 	if play.way == SplitCaps {
@@ -175,10 +175,10 @@
 }
 
 // begin draws the programs of this step.
-func (play *capPlay) begin(now bvclock.Time) {
-	rate := play.load.PerHost * float64(play.load.Hosts) / capRequests
-	if third := bvclock.Time(play.load.Length / 3); now >= third && now < 2*third {
-		rate *= play.load.Crowd
+func (play *capSimulation) begin(now bvclock.Time) {
+	rate := play.load.RatePerHost * float64(play.load.Hosts) / capRequests
+	if third := bvclock.Time(play.load.Duration / 3); now >= third && now < 2*third {
+		rate *= play.load.SurgeFactor
 	}
 	for expected := rate * float64(capStep) / float64(bvclock.Second); expected > 0; expected-- {
 		if play.random.Float64() >= expected {
@@ -192,7 +192,7 @@
 	}
 }
 
-func (play *capPlay) drawWorkspace() int {
+func (play *capSimulation) drawWorkspace() int {
 	draw := play.random.Float64()
 	for rank, weight := range play.weights {
 		if draw -= weight; draw < 0 {
@@ -203,7 +203,7 @@
 }
 
 // request plays one request through any host.
-func (play *capPlay) request(now bvclock.Time, workspace int) {
+func (play *capSimulation) request(now bvclock.Time, workspace int) {
 	host := play.hosts[play.random.IntN(len(play.hosts))]
 	request := bvquota.Request{Workspace: play.caps[workspace].Workspace}
 	wanted := play.single.TakeAsAllocator(request).Outcome == bvquota.Granted
@@ -211,17 +211,17 @@
 	play.result.Requests++
 	switch {
 	case decision.Outcome == bvquota.Granted:
-		play.result.Run++
+		play.result.Granted++
 		play.ran[workspace] = append(play.ran[workspace], now.Add(decision.Wait))
 		if !wanted {
-			play.result.RunAbove++
+			play.result.GrantedAbove++
 		}
 	case wanted:
 		play.result.RefusedBelow++
 	}
 }
 
-func (play *capPlay) decide(host *capHost, request bvquota.Request) bvquota.Decision {
+func (play *capSimulation) decide(host *capHost, request bvquota.Request) bvquota.Decision {
 	decision := bvquota.Decision{Outcome: bvquota.Ask}
 	if play.way != CentralCaps {
 		decision = host.limiter.Take(request)
@@ -230,15 +230,15 @@
 		return decision
 	}
 	first := int(bvquota.HashWorkspace(request.Workspace)) % len(play.hosts)
-	allocator, standby := play.hosts[first], play.random.Float64() < play.load.Unanswered
+	allocator, standby := play.hosts[first], play.random.Float64() < play.load.UnansweredShare
 	if standby {
 		allocator = play.hosts[(first+1)%len(play.hosts)]
 	}
 	request.FromStandby = standby
-	if play.way == SplitCaps || play.way == ToldCaps || allocator == host {
+	if play.way == SplitCaps || play.way == ReportedCaps || allocator == host {
 		return host.limiter.TakeAsAllocator(request)
 	}
-	play.result.Asks++
+	play.result.AllocatorRequests++
 	decision = allocator.limiter.DecideClaim(host.id, host.limiter.OwnUsage(request.Workspace), request)
 	if decision.Outcome == bvquota.Granted {
 		host.limiter.RecordGrant(request.Workspace)
@@ -247,11 +247,11 @@
 }
 
 // tell sends what each host ran to all others, each host at its own moment.
-func (play *capPlay) tell(now bvclock.Time) {
+func (play *capSimulation) tell(now bvclock.Time) {
 	if play.way == SplitCaps {
 		return
 	}
-	rounds := int64(max(play.load.Lag/capStep, 1))
+	rounds := int64(max(play.load.ReportLag/capStep, 1))
 	for i, host := range play.hosts {
 		if (int64(now)/int64(capStep)+int64(i))%rounds == 0 {
 			at := now.Add(capStep)
@@ -260,7 +260,7 @@
 	}
 }
 
-func (play *capPlay) deliver(now bvclock.Time) {
+func (play *capSimulation) deliver(now bvclock.Time) {
 	for _, mail := range play.mail[now] {
 		for _, host := range play.hosts {
 			if host.id != mail.from {
@@ -272,7 +272,7 @@
 }
 
 // worstWindow returns the most requests in a window, as a share of what the bounds allow.
-func (play *capPlay) worstWindow() float64 {
+func (play *capSimulation) worstWindow() float64 {
 	worst := 0.0
 	for workspace, ran := range play.ran {
 		slices.Sort(ran)
--- a/bvfleet/capway_string.go
+++ b/bvfleet/capway_string.go
@@ -9,7 +9,7 @@
 	// Re-run the stringer command to generate them again.
 	var x [1]struct{}
 	_ = x[SplitCaps-0]
-	_ = x[ToldCaps-1]
+	_ = x[ReportedCaps-1]
 	_ = x[AllocatedCaps-2]
 	_ = x[CentralCaps-3]
 }
--- a/bvfleet/digest.go
+++ b/bvfleet/digest.go
@@ -6,7 +6,7 @@
 )
 
 // tellDigests tells each host of the others' calls and prompts, as their digests would.
-func (play *play) tellDigests() {
+func (play *simulation) tellDigests() {
 	ofZone := make([]map[uint64]int, play.load.Zones) // calls of a zone's hosts
 	for zone := range ofZone {
 		ofZone[zone] = make(map[uint64]int)
@@ -25,11 +25,11 @@
 }
 
 // loadsFor returns the calls of the other hosts, as far as a host hears of them.
-func (play *play) loadsFor(host *host, mates map[uint64]int) map[uint64]int {
+func (play *simulation) loadsFor(host *host, mates map[uint64]int) map[uint64]int {
 	loads := make(map[uint64]int)
 	for _, engine := range play.engines {
 		loads[engine.hash] = mates[engine.hash] - host.running[engine.hash]
-		if play.load.Totals || engine.zone == host.zone {
+		if play.load.GlobalDigests || engine.zone == host.zone {
 			loads[engine.hash] = engine.calls() - host.running[engine.hash]
 		}
 	}
@@ -38,7 +38,7 @@
 
 // tellPlaced tells what a host has placed to those of its zone, and to others what
 // concerns their engines.
-func (play *play) tellPlaced(teller *host) {
+func (play *simulation) tellPlaced(teller *host) {
 	for _, host := range play.hosts {
 		if host == teller {
 			continue
--- a/bvfleet/engine.go
+++ b/bvfleet/engine.go
@@ -52,9 +52,9 @@
 // step moves the engine by a millisecond and returns the calls that ended.
 func (engine *engine) step() (ended []*call) {
 	engine.admit()
-	perToken := engine.spec.Token + engine.spec.TokenEachCall*float64(len(engine.running))
+	perToken := engine.spec.TokenTime + engine.spec.TokenTimePerCall*float64(len(engine.running))
 	if engine.readPrompt() {
-		perToken += float64(engine.spec.Chunk) / engine.spec.Reads
+		perToken += float64(engine.spec.PrefillChunk) / engine.spec.PrefillRate
 	}
 	running := engine.running[:0]
 	for _, call := range engine.running {
@@ -89,7 +89,7 @@
 func (engine *engine) readPrompt() bool {
 	for _, call := range engine.running {
 		if call.unread > 0 {
-			call.unread -= engine.spec.Reads
+			call.unread -= engine.spec.PrefillRate
 			return true
 		}
 	}
@@ -116,7 +116,7 @@
 		}
 		engine.parts.Add(part.Key, part.Tokens)
 	}
-	for engine.tokens > engine.spec.Memory {
+	for engine.tokens > engine.spec.CacheTokens {
 		engine.parts.RemoveOldest()
 	}
 }
--- a/bvfleet/play.go
+++ b/bvfleet/play.go
@@ -26,7 +26,7 @@
 )
 
 // play is a load under way.
-type play struct {
+type simulation struct {
 	load    Load
 	random  *rand.Rand
 	now     bvclock.Time
@@ -51,33 +51,33 @@
 	placed  []bvdispatch.Placement
 }
 
-// Play plays a load to its end.
-func Play(load Load) Result {
-	play := &play{
+// Simulate simulates a load to its end.
+func Simulate(load Load) Result {
+	play := &simulation{
 		load: load, random: rand.New(rand.NewPCG(load.Seed, load.Seed)),
 		byHash: make(map[uint64]*engine), byName: make(map[string]*engine),
 		due: make(map[bvclock.Time][]*program), impatient: make(map[bvclock.Time][]*call),
 	}
 	play.build()
-	for end := bvclock.Time(load.Length + lateEnd); play.now < end; {
+	for end := bvclock.Time(load.Duration + lateEnd); play.now < end; {
 		play.now++
 		play.beginPrograms()
 		play.sendTurns()
 		play.stepEngines()
 		play.loseCallers()
-		if play.now%bvclock.Time(load.DigestEvery) == 0 {
+		if play.now%bvclock.Time(load.DigestInterval) == 0 {
 			play.tellDigests()
 		}
 	}
 	return play.sum()
 }
 
-func (play *play) build() {
+func (play *simulation) build() {
 	listed := make([]bvplatform.Endpoint, play.load.Engines)
 	for i := range listed {
 		zone := i % play.load.Zones
 		listed[i] = bvplatform.Endpoint{
-			Name: fmt.Sprintf("engine-%d", i), Zone: zoneName(zone), Slots: play.load.Engine.Slots, CacheTokens: play.load.Engine.Memory,
+			Name: fmt.Sprintf("engine-%d", i), Zone: zoneName(zone), Slots: play.load.Engine.Slots, CacheTokens: play.load.Engine.CacheTokens,
 		}
 		id := listed[i].ID()
 		engine := newEngine(play.load.Engine, id, bvdispatch.HashID(id), zone)
@@ -87,14 +87,14 @@
 	for i := range play.load.Hosts {
 		zone := i % play.load.Zones
 		pool := bvdispatch.NewPool(play.load.Seed<<32+uint64(i), zoneName(zone))
-		pool.Disable(play.load.Without)
+		pool.Disable(play.load.Disabled)
 		pool.SetEndpoints(listed)
 		play.hosts = append(play.hosts, &host{zone: zone, pool: pool, running: make(map[uint64]int)})
 	}
 	for _, kind := range play.load.Kinds {
-		parts := make([]bvroute.Part, kind.Beginnings)
+		parts := make([]bvroute.Part, kind.SharedPrefixes)
 		for i := range parts {
-			parts[i] = play.newPart(kind.Beginning)
+			parts[i] = play.newPart(kind.PrefixSize)
 		}
 		play.beginnings = append(play.beginnings, parts)
 	}
@@ -104,20 +104,20 @@
 
 // beginPrograms begins those of this millisecond; at a few hundred a second, that more
 // than one of a kind begins in it is left out.
-func (play *play) beginPrograms() {
-	if bvclock.Duration(play.now) > play.load.Length {
+func (play *simulation) beginPrograms() {
+	if bvclock.Duration(play.now) > play.load.Duration {
 		return
 	}
 	for i, kind := range play.load.Kinds {
-		rate := kind.PerSecond
-		for _, crowd := range play.load.Crowds {
-			if since := bvclock.Duration(play.now) - crowd.From; since >= 0 && since < crowd.For {
+		rate := kind.Rate
+		for _, crowd := range play.load.Surges {
+			if since := bvclock.Duration(play.now) - crowd.Start; since >= 0 && since < crowd.Duration {
 				rate *= crowd.Factor
 			}
 		}
 		if play.random.Float64() < rate/float64(bvclock.Second) {
 			begun := play.draw(i)
-			begun.workspace = play.drawWorkspace(kind.PerSecond / rate)
+			begun.workspace = play.drawWorkspace(kind.Rate / rate)
 			play.programs = append(play.programs, begun)
 			play.later(begun, way)
 		}
@@ -126,11 +126,11 @@
 
 // drawWorkspace draws the workspace of a program; usual is the share of programs that
 // would begin without the crowd.
-func (play *play) drawWorkspace(usual float64) string {
+func (play *simulation) drawWorkspace(usual float64) string {
 	switch {
 	case play.load.Workspaces == 0:
 		return ""
-	case play.load.Flood && play.random.Float64() >= usual:
+	case play.load.SingleWorkspaceSurge && play.random.Float64() >= usual:
 		return workspaceName(0)
 	}
 	return workspaceName(play.random.IntN(play.load.Workspaces))
@@ -138,12 +138,12 @@
 
 func workspaceName(number int) string { return fmt.Sprintf("workspace-%d", number) }
 
-func (play *play) later(program *program, pause bvclock.Duration) {
+func (play *simulation) later(program *program, pause bvclock.Duration) {
 	at := play.now.Add(max(pause, bvclock.Millisecond))
 	play.due[at] = append(play.due[at], program)
 }
 
-func (play *play) sendTurns() {
+func (play *simulation) sendTurns() {
 	for _, program := range play.due[play.now] {
 		play.send(program)
 	}
@@ -151,7 +151,7 @@
 }
 
 // send sends a program's next turn, or refuses it.
-func (play *play) send(program *program) {
+func (play *simulation) send(program *program) {
 	host := play.hosts[program.host]
 	if program.at == 0 {
 		if comeBack, admitted := host.pool.Admit(play.now, bvdispatch.NewProgram{Priority: program.kind.Priority, Workspace: program.workspace}); !admitted {
@@ -176,7 +176,7 @@
 }
 
 // counts is what the engines' trackers tell a host.
-func (play *play) counts(host *host, engines []uint64) map[uint64]int {
+func (play *simulation) counts(host *host, engines []uint64) map[uint64]int {
 	counts := make(map[uint64]int, len(engines))
 	for _, hash := range engines {
 		counts[hash] = play.byHash[hash].calls() - host.running[hash]
@@ -184,7 +184,7 @@
 	return counts
 }
 
-func (play *play) begin(program *program, request *bvdispatch.Request, engine *engine) {
+func (play *simulation) begin(program *program, request *bvdispatch.Request, engine *engine) {
 	host := play.hosts[program.host]
 	for _, part := range host.pool.BeginCall(play.now, engine.id, request) {
 		host.placed = append(host.placed, bvdispatch.Placement{Endpoint: engine.hash, Part: part})
@@ -203,7 +203,7 @@
 	play.impatient[at] = append(play.impatient[at], call)
 }
 
-func (play *play) stepEngines() {
+func (play *simulation) stepEngines() {
 	for _, engine := range play.engines {
 		for _, call := range engine.step() {
 			play.end(call)
@@ -212,7 +212,7 @@
 }
 
 // end notes a turn's end and plans the next one.
-func (play *play) end(call *call) {
+func (play *simulation) end(call *call) {
 	program := call.program
 	program.held = bvdispatch.HeldPrefix{Endpoint: call.engine.hash, Tokens: program.tokens}
 	play.leave(call, bvdispatch.Served)
@@ -224,13 +224,13 @@
 		return
 	}
 	program.extend(program.turns[program.at].input)
-	if play.random.Float64() < play.load.Wanders {
+	if play.random.Float64() < play.load.HostChangeShare {
 		program.host = play.random.IntN(play.load.Hosts)
 	}
 	play.later(program, pause+2*way)
 }
 
-func (play *play) leave(call *call, outcome bvdispatch.Outcome) {
+func (play *simulation) leave(call *call, outcome bvdispatch.Outcome) {
 	host := play.hosts[call.host]
 	host.pool.EndCall(play.now, call.engine.id, bvdispatch.Result{Outcome: outcome, Duration: play.now.Sub(call.sentAt), AnswerStarted: call.started})
 	if host.running[call.engine.hash]--; host.running[call.engine.hash] == 0 {
@@ -240,7 +240,7 @@
 }
 
 // loseCallers ends the calls whose callers have waited for too long.
-func (play *play) loseCallers() {
+func (play *simulation) loseCallers() {
 	for _, call := range play.impatient[play.now] {
 		if call.started || call.over {
 			continue
@@ -255,7 +255,7 @@
 
 // comeAgain plans the next try of a caller that was refused or has left, or ends its
 // program.
-func (play *play) comeAgain(program *program, comeBack bvclock.Duration) {
+func (play *simulation) comeAgain(program *program, comeBack bvclock.Duration) {
 	if program.tries++; program.tries < mostTries {
 		play.later(program, comeBack)
 		return
--- a/bvfleet/program.go
+++ b/bvfleet/program.go
@@ -49,7 +49,7 @@
 }
 
 // draw makes a program of a kind that begins now.
-func (play *play) draw(kind int) *program {
+func (play *simulation) draw(kind int) *program {
 	spec := &play.load.Kinds[kind]
 	drawn := &program{kind: spec, begun: play.now, host: play.random.IntN(play.load.Hosts)}
 	drawn.extend(play.beginning(kind))
@@ -61,7 +61,7 @@
 			pause:  bvclock.Duration(spec.Pause.draw(play.random)),
 		}
 		drawn.turns = append(drawn.turns, turn)
-		idle += float64(turn.input.Tokens)/play.load.Engine.Reads + turn.output*play.load.Engine.Token + float64(turn.pause+2*way)
+		idle += float64(turn.input.Tokens)/play.load.Engine.PrefillRate + turn.output*play.load.Engine.TokenTime + float64(turn.pause+2*way)
 	}
 	drawn.aim = bvclock.Duration(spec.Slack * idle)
 	drawn.extend(drawn.turns[0].input)
@@ -72,7 +72,7 @@
 const beginningSkew = 0.7
 
 // beginning draws one of the long parts that programs of a kind begin with.
-func (play *play) beginning(kind int) bvroute.Part {
+func (play *simulation) beginning(kind int) bvroute.Part {
 	parts := play.beginnings[kind]
 	sum := 0.0
 	for i := range parts {
@@ -87,7 +87,7 @@
 	return parts[len(parts)-1]
 }
 
-func (play *play) newPart(size Size) bvroute.Part {
+func (play *simulation) newPart(size Lognormal) bvroute.Part {
 	play.partsMade++
 	return bvroute.Part{Key: play.partsMade, Tokens: int(size.draw(play.random))}
 }
--- a/bvfleet/result.go
+++ b/bvfleet/result.go
@@ -18,7 +18,7 @@
 	OthersInTime int
 }
 
-func (play *play) sum() Result {
+func (play *simulation) sum() Result {
 	result := play.result
 	result.Programs = len(play.programs)
 	for _, program := range play.programs {
--- a/bvfront/finish.go
+++ b/bvfront/finish.go
@@ -18,7 +18,7 @@
 		return
 	}
 	call.front.parts.Counters.Add("failed", 1)
-	call.front.parts.Counters.Refused(call.workspaceName(), err)
+	call.front.parts.Counters.CountRefusal(call.workspaceName(), err)
 	if call.headWritten || call.hasCallerLeft() {
 		// A truncated answer must not look complete: HTTP can signal it only by
 		// closing the connection.
--- a/bvfront/front.go
+++ b/bvfront/front.go
@@ -112,7 +112,7 @@
 // Counters counts events and observes durations.
 type Counters interface {
 	Add(name string, delta int64)
-	Refused(member string, err error)
+	CountRefusal(member string, err error)
 	Observe(name string, duration bvclock.Duration)
 }
 
--- a/bvmeasure/latency.go
+++ b/bvmeasure/latency.go
@@ -10,13 +10,13 @@
 	"balsamvalve.example/bvclock"
 )
 
-// Bounds of a latency. A longer one counts as the longest.
+// Range and precision of the histograms. Longer latencies count as maxLatency.
 const (
-	longestLatency = bvclock.Hour
-	latencyDigits  = 2
+	maxLatency        = bvclock.Hour
+	significantDigits = 2
 )
 
-// latency is a variable that holds the distribution of durations since the
+// latency is an expvar variable with the distribution of durations since the
 // daemon started.
 type latency struct {
 	mutex     sync.Mutex
@@ -24,13 +24,13 @@
 }
 
 func newLatency() *latency {
-	return &latency{histogram: hdrhistogram.New(1, int64(longestLatency), latencyDigits)}
+	return &latency{histogram: hdrhistogram.New(1, int64(maxLatency), significantDigits)}
 }
 
 func (latency *latency) observe(duration bvclock.Duration) {
 	latency.mutex.Lock()
 	defer latency.mutex.Unlock()
-	_ = latency.histogram.RecordValue(int64(min(max(duration, 0), longestLatency))) // is in bounds
+	_ = latency.histogram.RecordValue(int64(min(max(duration, 0), maxLatency))) // within the histogram's range
 }
 
 // String implements expvar.Var.
@@ -58,8 +58,9 @@
 	return string(encoded)
 }
 
-// lines returns the figures as "name value", in milliseconds but for the count.
-func (latency *latency) lines() []string {
+// textLines returns the figures as "name value"; all but the count are in
+// milliseconds.
+func (latency *latency) textLines() []string {
 	latency.mutex.Lock()
 	defer latency.mutex.Unlock()
 	return []string{
--- a/bvmeasure/measure.go
+++ b/bvmeasure/measure.go
@@ -1,56 +1,57 @@
-// Package bvmeasure counts what a daemon does, for /debug/vars.
+// Package bvmeasure holds a daemon's counters and latencies and serves them at
+// /debug/vars.
 //
 // # Usage
 //
 //	counters := bvmeasure.New()
-//	counters.Answered()
+//	counters.CountAnswer()
 //	mux.Handle("GET /debug/vars", counters)
 //
 // # Variables
 //
-// All are of this host, and of all members together, since it started.
+// All cover this host and all members together, since the daemon started.
 //
-//	answered              calls that came in here and got a complete answer
-//	refused               a map: errors of calls that came in here, by "verdict/code"
-//	call_latency          of calls run here, first arrival to kept answer
-//	program_latency       of programs that ran here whole, first call to last answer
-//	permit_wait           of calls run here, for an endpoint
+//	answered              calls received here that got a complete answer
+//	refused               a map: errors of calls received here, by "verdict/code"
+//	call_latency          of calls run here, from first arrival to persisted answer
+//	program_latency       of programs run entirely here, from first call to last answer
+//	permit_wait           wait for an endpoint, of calls run here
 //	platform_writes       transactions sent to the platform
-//	platform_conflicts    transactions that another host's write had overtaken
+//	platform_conflicts    transactions that conflicted with another host's write
 //	platform_unknown      transactions whose outcome had to be read back
 //	commit_entries        program entries in those transactions
 //	prompt_tokens         of model calls run here, as the engines counted them
-//	cached_tokens         of those, which the engines had in their cache
-//	recomputed_tokens     of the programs' kept histories, which they had not (estimate)
-//	releases              orders to engines to drop an ended program's cache
-//	releases_failed       of those, which the engine did not confirm; they are repeated
-//	resumed_streams       streams taken over from a lost owner
-//	rerun_calls           tries after the first, because an endpoint gave no answer
-//	lost_owners           calls whose owner was lost on the way
-//	declined_calls        calls that had to ask another host for the owner
-//	suspects_told         hosts told of requests that may crash endpoints
-//	table_version         version of the operators' table in force
+//	cached_tokens         of those, tokens that the engines had cached
+//	recomputed_tokens     of persisted histories, tokens that they had not cached (estimate)
+//	releases              requests to engines to drop an ended program's cache
+//	releases_failed       of those, not confirmed by the engine; they are repeated
+//	resumed_streams       streams taken over from a failed owner
+//	rerun_calls           attempts after the first, because an endpoint gave no answer
+//	lost_owners           calls whose owner failed during the call
+//	declined_calls        calls that had to query another host for the owner
+//	suspects_told         hosts notified of requests that may crash endpoints
+//	table_version         version of the operators' table that is active
 //	hosts                 hosts in this host's view
 //
 // A routing daemon has these instead:
 //
-//	answered              requests that got a whole answer
-//	failed                requests that got none, or a refusal
-//	refused               a map: the same, by "verdict/code"
+//	answered              requests that got a complete answer
+//	failed                requests that got no complete answer, or a refusal
+//	refused               a map: failed requests, by "verdict/code"
 //	first_event           of streams, from the request's arrival to the first event
 //	request_latency       of answered requests, from arrival to the last byte
-//	sends_again           sends after the first of a request
-//	programs_turned_away  programs refused before their first turn, for load
-//	desired_state_version version of the routes in force
-//	hosts_heard           other hosts whose digests come
-//	endpoints             endpoints on the list
+//	sends_again           sends of a request after its first
+//	programs_turned_away  programs rejected before their first turn because of overload
+//	desired_state_version version of the active routes
+//	hosts_heard           other hosts whose digests arrive
+//	endpoints             endpoints on the platform's list
 //	connections_opened    connections opened to endpoints
-//	budget_writes         transactions tried on programs' budgets
+//	budget_writes         transactions attempted on programs' budgets
 //	budget_accounts       programs with an account here
-//	conversations_from_hosts  conversations that other hosts had at hand
-//	rows_swept            expired rows removed that other hosts had left behind
-//	store_calls           a map: calls to the platform's store by this host's own
-//	                      way, by "what table"
+//	conversations_from_hosts  conversations fetched from other hosts' memory
+//	rows_swept            expired rows of other hosts that were removed
+//	store_calls           a map: calls to the platform's store without a relay,
+//	                      by "operation table"
 //	store_reachable       1 while the platform's store answers this host
 //
 // A latency is an object with count, mean_ms, p50_ms, p95_ms, p99_ms, max_ms.
@@ -68,14 +69,14 @@
 	"balsamvalve.example/bvverdict"
 )
 
-// Counters are one daemon's counters. They are not in the process-wide list of
-// expvar, so that several daemons in one process stay apart.
+// Counters are one daemon's counters. They are not published in the process-wide
+// expvar list, so that several daemons in one process have separate counters.
 type Counters struct {
 	variables expvar.Map
 	refused   expvar.Map
 
-	mutex    sync.Mutex
-	byMember map[string]map[string]int64 // refusals; not in the variables, which everybody may read
+	mutex            sync.Mutex
+	refusalsByMember map[string]map[string]int64 // not among the variables, which cover all members together
 }
 
 // New returns counters at zero.
@@ -108,22 +109,22 @@
 	return number.Value()
 }
 
-// Answered counts a complete answer.
-func (counters *Counters) Answered() {
+// CountAnswer counts a complete answer.
+func (counters *Counters) CountAnswer() {
 	counters.Add("answered", 1)
 }
 
-// Count adds one to a counter that is kept by kind.
-func (counters *Counters) Count(name, kind string) { counters.kinds(name).Add(kind, 1) }
+// Count adds one to the counter of a kind.
+func (counters *Counters) Count(name, kind string) { counters.kindMap(name).Add(kind, 1) }
 
-// SetKind sets a variable that is kept by kind.
+// SetKind sets the variable of a kind.
 func (counters *Counters) SetKind(name, kind string, value int64) {
 	number := new(expvar.Int)
 	number.Set(value)
-	counters.kinds(name).Set(kind, number)
+	counters.kindMap(name).Set(kind, number)
 }
 
-func (counters *Counters) kinds(name string) *expvar.Map {
+func (counters *Counters) kindMap(name string) *expvar.Map {
 	if found, ok := counters.variables.Get(name).(*expvar.Map); ok {
 		return found
 	}
@@ -160,9 +161,9 @@
 	return added
 }
 
-// Refused counts an error by its verdict and code; member is empty when the
-// caller's key was not known.
-func (counters *Counters) Refused(member string, err error) {
+// CountRefusal counts an error by its verdict and code; member is empty when the
+// caller's key is unknown.
+func (counters *Counters) CountRefusal(member string, err error) {
 	found := bvverdict.From(err)
 	kind := found.Verdict().String() + "/" + found.Code().String()
 	counters.refused.Add(kind, 1)
@@ -171,23 +172,23 @@
 	}
 	counters.mutex.Lock()
 	defer counters.mutex.Unlock()
-	if counters.byMember == nil {
-		counters.byMember = make(map[string]map[string]int64)
+	if counters.refusalsByMember == nil {
+		counters.refusalsByMember = make(map[string]map[string]int64)
 	}
-	if counters.byMember[member] == nil {
-		counters.byMember[member] = make(map[string]int64)
+	if counters.refusalsByMember[member] == nil {
+		counters.refusalsByMember[member] = make(map[string]int64)
 	}
-	counters.byMember[member][kind]++
+	counters.refusalsByMember[member][kind]++
 }
 
 // Refusals returns a member's refusals by "verdict/code".
 func (counters *Counters) Refusals(member string) map[string]int64 {
 	counters.mutex.Lock()
 	defer counters.mutex.Unlock()
-	return maps.Clone(counters.byMember[member])
+	return maps.Clone(counters.refusalsByMember[member])
 }
 
-// Numbers returns all counters that are a number.
+// Numbers returns all variables that are single numbers.
 func (counters *Counters) Numbers() map[string]int64 {
 	numbers := make(map[string]int64)
 	counters.variables.Do(func(variable expvar.KeyValue) {
@@ -205,7 +206,7 @@
 }
 
 // Text serves the variables as lines of text, "name value", for collectors
-// that read no JSON. Latencies have a line for each of their figures.
+// that do not read JSON. A latency has a line for each of its figures.
 func (counters *Counters) Text() http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		writer.Header().Set("Content-Type", "text/plain; charset=utf-8")
@@ -213,12 +214,12 @@
 	})
 }
 
-// writeText writes one variable. An error would mean that the collector has
-// gone.
+// writeText writes one variable. It ignores errors, which mean that the collector
+// has closed the connection.
 func writeText(writer io.Writer, variable expvar.KeyValue) {
 	switch value := variable.Value.(type) {
 	case *latency:
-		for _, line := range value.lines() {
+		for _, line := range value.textLines() {
 			_, _ = fmt.Fprintf(writer, "balsamvalve_%s_%s\n", variable.Key, line)
 		}
 	case *expvar.Map:
--- a/bvmeasure/measure_test.go
+++ b/bvmeasure/measure_test.go
@@ -13,8 +13,8 @@
 
 func TestVariablesAreServedAsJSON(t *testing.T) {
 	counters := New()
-	counters.Answered()
-	counters.Refused("piran", bvverdict.Refuse(bvverdict.Overloaded, "full"))
+	counters.CountAnswer()
+	counters.CountRefusal("piran", bvverdict.Refuse(bvverdict.Overloaded, "full"))
 	for duration := bvclock.Millisecond; duration <= 100; duration++ {
 		counters.Observe("call_latency", duration)
 	}
@@ -32,14 +32,14 @@
 	require.InDelta(t, 51, variables.Latency["p50_ms"], 1)
 	require.InDelta(t, 101, variables.Latency["count"], 0)
 	require.InEpsilon(t, float64(bvclock.Hour), variables.Latency["max_ms"], 0.01)
-	require.NotContains(t, recorder.Body.String(), "piran", "everybody may read the variables")
+	require.NotContains(t, recorder.Body.String(), "piran", "the variables name no member")
 	require.Equal(t, map[string]int64{"not run/overloaded": 1}, counters.Refusals("piran"))
 }
 
 func TestVariablesAreServedAsText(t *testing.T) {
 	counters := New()
-	counters.Answered()
-	counters.Refused("", bvverdict.Refuse(bvverdict.Overloaded, "full"))
+	counters.CountAnswer()
+	counters.CountRefusal("", bvverdict.Refuse(bvverdict.Overloaded, "full"))
 	counters.Observe("first_event", 40)
 	recorder := httptest.NewRecorder()
 	counters.Text().ServeHTTP(recorder, nil)
--- a/bvmodel/call.go
+++ b/bvmodel/call.go
@@ -22,51 +22,51 @@
 
 // memory is what the call occupies from its start to its end.
 func (call Call) memory(limit int) int {
-	return min(call.PromptTokens+call.output(), limit)
+	return min(call.PromptTokens+call.outputTokens(), limit)
 }
 
-func (call Call) output() int {
+func (call Call) outputTokens() int {
 	return max(call.OutputTokens, 1)
 }
 
 // running is a call that occupies a slot. It is prefilled first and then
 // decoded.
-type running struct {
+type runningCall struct {
 	Call
-	memory   int
-	cached   int
-	prefill  float64 // tokens left to prefill
-	decoding bool
-	finishAt float64 // value of Engine.decoded at which the last token is out
-	ended    bool    // its program ended while it ran
+	memory        int
+	cached        int
+	unprefilled   float64 // tokens left to prefill
+	decoding      bool
+	finishDecoded float64 // value of Engine.decoded at which the last token is out
+	programEnded  bool    // its program ended while it ran
 }
 
 // decodedBy is how many tokens after the first one are out.
-func (call *running) decodedBy(decoded float64) float64 {
+func (call *runningCall) decodedTokens(decoded float64) float64 {
 	if !call.decoding {
 		return 0
 	}
-	return float64(call.output()-1) - max(0, call.finishAt-decoded)
+	return float64(call.outputTokens()-1) - max(0, call.finishDecoded-decoded)
 }
 
 // kept is how many tokens of the prompt are certainly in the cache.
-func (call *running) kept() int {
+func (call *runningCall) cachedPromptTokens() int {
 	if call.decoding {
 		return call.PromptTokens
 	}
 	return call.cached
 }
 
-// Served is service of an engine, in tokens. It is fractional because the
+// Service is work done by an engine, in tokens. It is fractional because the
 // model is fluid.
-type Served struct {
+type Service struct {
 	Prefilled float64
 	Decoded   float64
 }
 
 // Add returns the sum.
-func (served Served) Add(other Served) Served {
-	return Served{Prefilled: served.Prefilled + other.Prefilled, Decoded: served.Decoded + other.Decoded}
+func (served Service) Add(other Service) Service {
+	return Service{Prefilled: served.Prefilled + other.Prefilled, Decoded: served.Decoded + other.Decoded}
 }
 
 //go:generate stringer -type=EventKind -linecomment -output=eventkind_string.go
--- a/bvmodel/engine.go
+++ b/bvmodel/engine.go
@@ -40,11 +40,11 @@
 
 // Values that a zero Config stands for.
 const (
-	defaultSlots         = 16
-	defaultCacheTokens   = 200_000
-	defaultPrefillTokens = 8000
-	defaultDecodeTokens  = 60
-	millisecondsASecond  = 1000
+	defaultSlots          = 16
+	defaultCacheTokens    = 200_000
+	defaultPrefillTokens  = 8000
+	defaultDecodeTokens   = 60
+	millisecondsPerSecond = 1000
 )
 
 // Config describes an engine. A zero field stands for its default.
@@ -76,18 +76,18 @@
 
 // Engine is one model engine.
 type Engine struct {
-	config    Config
-	now       float64
-	waiting   []Call     // by priority, then arrival
-	batch     []*running // in the order of their start
-	decoded   float64    // tokens that a call decoded from the beginning would have by now
-	memory    int        // of the batch
-	cache     prefixCache
-	waste     Waste
-	prefilled float64            // tokens
-	repeated  float64            // of the prefilled tokens, history that no cache held
-	served    map[string]*Served // by salt
-	events    []Event
+	config     Config
+	now        float64
+	waiting    []Call         // by priority, then arrival
+	batch      []*runningCall // in the order of their start
+	decoded    float64        // tokens that a call decoded from the beginning would have by now
+	memory     int            // of the batch
+	cache      prefixCache
+	waste      Waste
+	prefilled  float64             // tokens
+	recomputed float64             // of the prefilled tokens, history that no cache held
+	served     map[string]*Service // by salt
+	events     []Event
 }
 
 // New returns an idle engine with an empty cache.
@@ -98,7 +98,7 @@
 // Submit takes a call at a time not before that of the last method call.
 // Events that were due come with the next Advance.
 func (engine *Engine) Submit(now bvclock.Time, call Call) {
-	engine.runUntil(float64(now))
+	engine.advanceThrough(float64(now))
 	at, _ := slices.BinarySearchFunc(engine.waiting, call.Priority, func(waiting Call, priority int) int {
 		if waiting.Priority >= priority {
 			return -1
@@ -112,7 +112,7 @@
 // Advance moves the engine to a time and returns what happened since the last
 // Advance, in order.
 func (engine *Engine) Advance(now bvclock.Time) []Event {
-	engine.runUntil(float64(now))
+	engine.advanceThrough(float64(now))
 	events := engine.events
 	engine.events = nil
 	return events
@@ -124,7 +124,7 @@
 	if len(engine.events) > 0 {
 		return engine.events[0].At, true
 	}
-	at, _ := engine.nextChange()
+	at, _ := engine.nextPhaseEnd()
 	if math.IsInf(at, 1) {
 		return 0, false
 	}
@@ -134,7 +134,7 @@
 // Cancel ends a call that waits or runs, and reports whether there was one.
 // What a running call has in the cache by then stays cached.
 func (engine *Engine) Cancel(now bvclock.Time, id CallID) bool {
-	engine.runUntil(float64(now))
+	engine.advanceThrough(float64(now))
 	for at, call := range engine.waiting {
 		if call.ID == id {
 			engine.waiting = slices.Delete(engine.waiting, at, at+1)
@@ -143,7 +143,7 @@
 	}
 	for at, call := range engine.batch {
 		if call.ID == id {
-			engine.leave(at, call.kept())
+			engine.removeFromBatch(at, call.cachedPromptTokens())
 			engine.admit()
 			return true
 		}
@@ -153,7 +153,7 @@
 
 // Release drops what is cached for a program. A call that runs is not touched.
 func (engine *Engine) Release(now bvclock.Time, salt, prefix string) {
-	engine.runUntil(float64(now))
+	engine.advanceThrough(float64(now))
 	cached := engine.cache.remove(prefixKey{salt, prefix})
 	if cached == nil {
 		return
@@ -165,11 +165,11 @@
 // EndProgram tells that a program has ended, for the count of wasted cache
 // only. A real engine does not know.
 func (engine *Engine) EndProgram(now bvclock.Time, salt, prefix string) {
-	engine.runUntil(float64(now))
+	engine.advanceThrough(float64(now))
 	key := prefixKey{salt, prefix}
 	for _, call := range engine.batch {
 		if call.key() == key {
-			call.ended = true
+			call.programEnded = true
 		}
 	}
 	cached := engine.cache.get(key)
@@ -185,7 +185,7 @@
 // What the cache had cost until then is not counted as waste, because no
 // decision about the cache lost it.
 func (engine *Engine) Crash(now bvclock.Time) []CallID {
-	engine.runUntil(float64(now))
+	engine.advanceThrough(float64(now))
 	lost := make([]CallID, 0, len(engine.batch)+len(engine.waiting))
 	for _, call := range engine.batch {
 		lost = append(lost, call.ID)
@@ -203,9 +203,9 @@
 // Waste returns the wasted cache until now, that of prefixes which are still
 // held for ended programs included.
 func (engine *Engine) Waste(now bvclock.Time) Waste {
-	engine.runUntil(float64(now))
+	engine.advanceThrough(float64(now))
 	waste := engine.waste
-	for element := engine.cache.recent.Front(); element != nil; element = element.Next() {
+	for element := engine.cache.byLastUse.Front(); element != nil; element = element.Next() {
 		cached := element.Value.(*cachedPrefix)
 		if cached.ended {
 			waste.charge(cached, engine.now)
@@ -230,18 +230,18 @@
 }
 
 func (engine *Engine) start(call Call, memory int) {
-	cached := engine.reuse(call)
+	cached := engine.takeCached(call)
 	engine.memory += memory
 	engine.evict()
 	toPrefill := float64(max(call.PromptTokens-cached, 0))
 	engine.prefilled += toPrefill
-	engine.repeated += float64(max(call.PrefixTokens-cached, 0))
-	engine.batch = append(engine.batch, &running{Call: call, memory: memory, cached: cached, prefill: toPrefill})
+	engine.recomputed += float64(max(call.PrefixTokens-cached, 0))
+	engine.batch = append(engine.batch, &runningCall{Call: call, memory: memory, cached: cached, unprefilled: toPrefill})
 	engine.emit(Event{Kind: Started, Call: call.ID, CachedTokens: cached, Salt: call.Salt, Prefix: call.Prefix})
 }
 
 // reuse takes a program's prefix out of the cache for a call that repeats it.
-func (engine *Engine) reuse(call Call) int {
+func (engine *Engine) takeCached(call Call) int {
 	prefix := engine.cache.remove(call.key())
 	if prefix == nil {
 		return 0
@@ -255,7 +255,7 @@
 
 func (engine *Engine) evict() {
 	for engine.memory+engine.cache.tokens > engine.config.CacheTokens {
-		prefix := engine.cache.removeOldest()
+		prefix := engine.cache.removeLeastRecent()
 		if prefix == nil {
 			return
 		}
@@ -265,7 +265,7 @@
 }
 
 // leave takes a call out of the batch and caches some tokens of its program.
-func (engine *Engine) leave(at int, tokens int) {
+func (engine *Engine) removeFromBatch(at int, tokens int) {
 	call := engine.batch[at]
 	engine.batch = slices.Delete(engine.batch, at, at+1)
 	engine.memory -= call.memory
@@ -280,6 +280,6 @@
 	if tokens == 0 || call.Prefix == "" {
 		return
 	}
-	engine.cache.put(&cachedPrefix{prefixKey: key, tokens: tokens, since: engine.now, ended: call.ended, endedAt: engine.now})
+	engine.cache.put(&cachedPrefix{prefixKey: key, tokens: tokens, cachedAt: engine.now, ended: call.programEnded, endedAt: engine.now})
 	engine.evict()
 }
--- a/bvmodel/engine_test.go
+++ b/bvmodel/engine_test.go
@@ -61,7 +61,7 @@
 	urgent := call(3, "m", "r", 0, 0, 1)
 	urgent.Priority = 1
 	engine.Submit(0, urgent)
-	require.Equal(t, 2, engine.Waiting())
+	require.Equal(t, 2, engine.WaitingCalls())
 	finished := only(untilIdle(engine), bvmodel.Finished)
 	require.Equal(t, bvmodel.CallID(3), finished[1].Call)
 	require.Equal(t, bvmodel.CallID(2), finished[2].Call)
@@ -115,7 +115,7 @@
 	engine := bvmodel.New(testConfig())
 	engine.Submit(0, call(1, "m", "p", 500, 0, 100))
 	engine.Submit(0, call(2, "m", "q", 500, 0, 100))
-	require.Equal(t, 1, engine.Running())
+	require.Equal(t, 1, engine.RunningCalls())
 	require.Len(t, only(untilIdle(engine), bvmodel.Finished), 2)
 }
 
@@ -124,8 +124,8 @@
 	engine.Submit(0, call(1, "m", "p", 100, 0, 1000))
 	require.True(t, engine.Cancel(600, 1))
 	require.False(t, engine.Cancel(600, 1))
-	require.Zero(t, engine.Running())
-	require.Equal(t, 100, engine.Cached("m", "p"))
+	require.Zero(t, engine.RunningCalls())
+	require.Equal(t, 100, engine.CachedPrefixTokens("m", "p"))
 }
 
 func TestCrashLosesCallsAndCache(t *testing.T) {
@@ -135,7 +135,7 @@
 	engine.Submit(1000, call(2, "m", "q", 100, 0, 100))
 	engine.Submit(1000, call(3, "m", "r", 900, 0, 100))
 	require.Equal(t, []bvmodel.CallID{2, 3}, engine.Crash(1050))
-	require.Zero(t, engine.Cached("m", "p"))
+	require.Zero(t, engine.CachedPrefixTokens("m", "p"))
 	_, more := engine.Next()
 	require.True(t, more, "the start of call 2 was not handed out yet")
 	require.Len(t, engine.Advance(1050), 1)
@@ -145,14 +145,14 @@
 	engine := bvmodel.New(testConfig())
 	engine.Submit(0, call(1, "m", "p", 100, 0, 50))
 	engine.Advance(1100)
-	require.Equal(t, 11, engine.Produced(1))
+	require.Equal(t, 11, engine.ProducedTokens(1))
 }
 
 func TestServiceIsCountedByMember(t *testing.T) {
 	engine := bvmodel.New(testConfig())
 	engine.Submit(0, call(1, "m", "p", 100, 0, 50))
 	engine.Advance(1100)
-	require.InDelta(t, 10, engine.Spent(1).Decoded, 1e-6)
-	require.InDelta(t, 100, engine.Served("m").Prefilled, 1e-6)
-	require.Zero(t, engine.Served("rival"))
+	require.InDelta(t, 10, engine.CallService(1).Decoded, 1e-6)
+	require.InDelta(t, 100, engine.MemberService("m").Prefilled, 1e-6)
+	require.Zero(t, engine.MemberService("rival"))
 }
--- a/bvmodel/observe.go
+++ b/bvmodel/observe.go
@@ -3,42 +3,42 @@
 // Config returns the engine's configuration with defaults filled in.
 func (engine *Engine) Config() Config { return engine.config }
 
-// Running returns the number of calls in the batch.
-func (engine *Engine) Running() int { return len(engine.batch) }
+// RunningCalls returns the number of calls in the batch.
+func (engine *Engine) RunningCalls() int { return len(engine.batch) }
 
-// Waiting returns the number of calls that have no slot yet.
-func (engine *Engine) Waiting() int { return len(engine.waiting) }
+// WaitingCalls returns the number of calls that have no slot yet.
+func (engine *Engine) WaitingCalls() int { return len(engine.waiting) }
 
 // PrefilledTokens returns how many tokens were prefilled so far, and how many
 // of them were history of a program that was not in the cache.
 func (engine *Engine) PrefilledTokens() (all, repeated float64) {
-	return engine.prefilled, engine.repeated
+	return engine.prefilled, engine.recomputed
 }
 
-// Served returns the service that all calls of a salt had so far.
-func (engine *Engine) Served(salt string) Served {
+// MemberService returns the service that all calls of a salt have received so far.
+func (engine *Engine) MemberService(salt string) Service {
 	if served := engine.served[salt]; served != nil {
 		return *served
 	}
-	return Served{}
+	return Service{}
 }
 
-// Spent returns the service that a running call had so far.
-func (engine *Engine) Spent(id CallID) Served {
+// CallService returns the service that a running call has received so far.
+func (engine *Engine) CallService(id CallID) Service {
 	for _, call := range engine.batch {
 		if call.ID == id {
-			return Served{
-				Prefilled: float64(max(call.PromptTokens-call.cached, 0)) - call.prefill,
-				Decoded:   call.decodedBy(engine.decoded),
+			return Service{
+				Prefilled: float64(max(call.PromptTokens-call.cached, 0)) - call.unprefilled,
+				Decoded:   call.decodedTokens(engine.decoded),
 			}
 		}
 	}
-	return Served{}
+	return Service{}
 }
 
-// Cached returns how many tokens are cached for a program that has no call
+// CachedPrefixTokens returns how many tokens are cached for a program that has no call
 // running here.
-func (engine *Engine) Cached(salt, prefix string) int {
+func (engine *Engine) CachedPrefixTokens(salt, prefix string) int {
 	cached := engine.cache.get(prefixKey{salt, prefix})
 	if cached == nil {
 		return 0
@@ -57,12 +57,12 @@
 	return 1 - float64(used)/float64(engine.config.CacheTokens)
 }
 
-// Produced returns how many tokens of a running call are out by the time of
+// ProducedTokens returns how many tokens of a running call are out by the time of
 // the last method call.
-func (engine *Engine) Produced(id CallID) int {
+func (engine *Engine) ProducedTokens(id CallID) int {
 	for _, call := range engine.batch {
 		if call.ID == id && call.decoding {
-			return 1 + int(call.decodedBy(engine.decoded)+arithmeticError)
+			return 1 + int(call.decodedTokens(engine.decoded)+arithmeticError)
 		}
 	}
 	return 0
--- a/bvmodel/prefix.go
+++ b/bvmodel/prefix.go
@@ -7,25 +7,25 @@
 // cachedPrefix is the KV cache of a program with no call running.
 type cachedPrefix struct {
 	prefixKey
-	tokens  int
-	since   float64
-	ended   bool // its program has ended
-	endedAt float64
+	tokens   int
+	cachedAt float64
+	ended    bool // its program has ended
+	endedAt  float64
 }
 
 // prefixCache keeps cached prefixes in the order of their last use, the least
 // recent one in front.
 type prefixCache struct {
-	byKey  map[prefixKey]*list.Element
-	recent list.List
-	tokens int
+	byKey     map[prefixKey]*list.Element
+	byLastUse list.List
+	tokens    int
 }
 
 func (cache *prefixCache) put(prefix *cachedPrefix) {
 	if cache.byKey == nil {
 		cache.byKey = make(map[prefixKey]*list.Element)
 	}
-	cache.byKey[prefix.prefixKey] = cache.recent.PushBack(prefix)
+	cache.byKey[prefix.prefixKey] = cache.byLastUse.PushBack(prefix)
 	cache.tokens += prefix.tokens
 }
 
@@ -42,14 +42,14 @@
 	if !ok {
 		return nil
 	}
-	prefix := cache.recent.Remove(element).(*cachedPrefix)
+	prefix := cache.byLastUse.Remove(element).(*cachedPrefix)
 	delete(cache.byKey, key)
 	cache.tokens -= prefix.tokens
 	return prefix
 }
 
-func (cache *prefixCache) removeOldest() *cachedPrefix {
-	front := cache.recent.Front()
+func (cache *prefixCache) removeLeastRecent() *cachedPrefix {
+	front := cache.byLastUse.Front()
 	if front == nil {
 		return nil
 	}
@@ -85,5 +85,5 @@
 		waste.Ended += tokens * (now - prefix.endedAt)
 		return
 	}
-	waste.Evicted += tokens * (now - prefix.since)
+	waste.Evicted += tokens * (now - prefix.cachedAt)
 }
--- a/bvowner/owner.go
+++ b/bvowner/owner.go
@@ -76,7 +76,7 @@
 	ledger   *bvledger.Ledger
 	sessions map[bvledger.CallID]*session
 	lastCall bvledger.CallID
-	alarm    bvclock.Alarm
+	alarm    bvclock.Timer
 	leaving  bool
 
 	latencies latencies
@@ -113,7 +113,7 @@
 func (owner *Owner) schedule(now bvclock.Time) {
 	next, ok := owner.ledger.Next()
 	if !ok {
-		owner.alarm.Clear()
+		owner.alarm.Stop()
 		return
 	}
 	owner.alarm.Set(now, next, func() { owner.apply(func(bvclock.Time) {}) })
--- a/bvpermit/pool.go
+++ b/bvpermit/pool.go
@@ -19,7 +19,7 @@
 	tickets     map[bvgate.RequestID]*Ticket
 	addresses   map[string]string
 	workLog     workLog
-	alarm       bvclock.Alarm
+	alarm       bvclock.Timer
 	sendMutex   sync.Mutex // held while suspects are sent to other hosts
 	sentCrashes uint64     // suspect crashes already sent to other hosts; guarded by sendMutex
 }
@@ -85,7 +85,7 @@
 func (pool *pool) schedule(now bvclock.Time) {
 	next := pool.decisions.NextTick()
 	if next == 0 {
-		pool.alarm.Clear()
+		pool.alarm.Stop()
 		return
 	}
 	pool.alarm.Set(now, next, func() { pool.apply(func(bvclock.Time) {}) })
--- a/bvstandin/batch.go
+++ b/bvstandin/batch.go
@@ -112,7 +112,7 @@
 		}
 	}
 	for id, stream := range engine.calls {
-		stream.produce(engine.model.Produced(id))
+		stream.produce(engine.model.ProducedTokens(id))
 	}
 	engine.report()
 }
@@ -149,7 +149,7 @@
 		return
 	}
 	engine.held[stream.key] = append(stream.prompt.messages, answerMessage(stream.text()))
-	engine.publish("cached", stream.key, engine.model.Cached(stream.key.salt, stream.key.prefix))
+	engine.publish("cached", stream.key, engine.model.CachedPrefixTokens(stream.key.salt, stream.key.prefix))
 }
 
 // drop notes that a prefix is no longer cached.
--- a/bvstandin/chat.go
+++ b/bvstandin/chat.go
@@ -136,7 +136,7 @@
 	if engine.faults.Refuse {
 		return &refusal{http.StatusServiceUnavailable, "overloaded", "not run", "engine refuses calls"}
 	}
-	if engine.config.MaxWaiting > 0 && engine.model.Waiting() >= engine.config.MaxWaiting {
+	if engine.config.MaxWaiting > 0 && engine.model.WaitingCalls() >= engine.config.MaxWaiting {
 		return &refusal{http.StatusServiceUnavailable, "overloaded", "not run", "queue is full"}
 	}
 	return nil
--- a/bvstandin/control.go
+++ b/bvstandin/control.go
@@ -24,8 +24,8 @@
 func (engine *Engine) report() {
 	config := engine.model.Config()
 	engine.load.put("", loadReport{
-		Running:      engine.model.Running(),
-		Waiting:      engine.model.Waiting(),
+		Running:      engine.model.RunningCalls(),
+		Waiting:      engine.model.WaitingCalls(),
 		Slots:        config.Slots,
 		CachedTokens: engine.model.CachedTokens(),
 		CacheTokens:  config.CacheTokens,
@@ -59,7 +59,7 @@
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	key := cacheKey{body.Salt, body.Prefix}
-	tokens := engine.model.Cached(key.salt, key.prefix)
+	tokens := engine.model.CachedPrefixTokens(key.salt, key.prefix)
 	now := engine.time.now(engine.clock.Now())
 	engine.model.EndProgram(now, key.salt, key.prefix)
 	engine.model.Release(now, key.salt, key.prefix)
@@ -82,7 +82,7 @@
 	defer engine.mutex.Unlock()
 	cached := []CachedPrefix{}
 	for key := range engine.held {
-		if tokens := engine.model.Cached(key.salt, key.prefix); tokens > 0 {
+		if tokens := engine.model.CachedPrefixTokens(key.salt, key.prefix); tokens > 0 {
 			cached = append(cached, CachedPrefix{key.salt, key.prefix, tokens})
 		}
 	}
