--- a/bvdispatch/dispatcher.go
+++ b/bvdispatch/dispatcher.go
@@ -356,11 +356,11 @@
 
 // IsPoisonous reports whether a request, by its content hash, has crashed too many
 // endpoints.
-func (dispatcher *Dispatcher) IsPoisonous(content uint64) bool {
+func (dispatcher *Dispatcher) IsPoisonous(contentHash uint64) bool {
 	now := dispatcher.clock.Now()
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
-	return dispatcher.suspects.IsPoisonous(now, content)
+	return dispatcher.suspects.IsPoisonous(now, contentHash)
 }
 
 // RecentCrashes returns the crashes to report to other hosts.
