--- a/bvdaemon/commit.go
+++ b/bvdaemon/commit.go
@@ -11,12 +11,12 @@
 	"balsamvalve.example/bvplatform"
 )
 
-// writeBurst is how much of its share of writes a host may save up: all hosts
-// together then never ask for more than the budget of this time at once.
+// writeBurst bounds the unused share of the write budget that a host may
+// accumulate: a burst of all hosts together never exceeds the budget of this time.
 const writeBurst = 250 * bvclock.Millisecond
 
 // storeTimeout bounds one read or write of the platform's table. A write that
-// got no answer in this time is read back.
+// times out is read back, because it may have been committed.
 const storeTimeout = 2 * bvclock.Second
 
 // commitLoop runs the group committer of this host.
@@ -34,17 +34,17 @@
 	}
 }
 
-// run paces the writes by the number of live hosts until ctx ends.
+// run adjusts the write rate to the number of live hosts until ctx ends.
 func (loop *commitLoop) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		loop.pace()
+		loop.setRate()
 		sleep(ctx, bvclock.Second)
 	}
 }
 
-// pace shares the platform's write budget evenly: each host counts the live
-// hosts for itself, so a host that joins or leaves changes all of them.
-func (loop *commitLoop) pace() {
+// setRate divides the platform's write budget evenly among the live hosts. Each
+// host counts them in its own view, so all rates change when a host joins or leaves.
+func (loop *commitLoop) setRate() {
 	hosts := bvclock.Duration(loop.daemon.view.LiveCount())
 	interval := hosts * bvclock.Second / bvclock.Duration(loop.daemon.settings.WriteBudget())
 	loop.mutex.Lock()
@@ -55,11 +55,11 @@
 
 // Add implements bvowner.Committer.
 func (loop *commitLoop) Add(entry bvledger.Entry) {
-	loop.do(func(bvclock.Time) { loop.committer.Add(entry) })
+	loop.handle(func(bvclock.Time) { loop.committer.Add(entry) })
 }
 
-// do applies an event and carries out what the committer then wants.
-func (loop *commitLoop) do(event func(now bvclock.Time)) {
+// handle applies an event to the committer and executes the resulting effects.
+func (loop *commitLoop) handle(event func(now bvclock.Time)) {
 	loop.mutex.Lock()
 	now := loop.daemon.clock.Now()
 	event(now)
@@ -79,14 +79,14 @@
 	}
 }
 
-// schedule arranges the tick that time alone calls for.
+// schedule sets the alarm to the committer's next tick that no event triggers.
 func (loop *commitLoop) schedule(now bvclock.Time) {
 	next, ok := loop.committer.Next()
 	if !ok {
 		loop.alarm.Stop()
 		return
 	}
-	loop.alarm.Set(now, next, func() { loop.do(func(bvclock.Time) {}) })
+	loop.alarm.Set(now, next, func() { loop.handle(func(bvclock.Time) {}) })
 }
 
 func (loop *commitLoop) write(transaction bvplatform.Transaction) {
@@ -97,7 +97,7 @@
 	if conflict := new(bvplatform.ConflictError); errors.As(err, &conflict) {
 		loop.daemon.measures.Add("platform_conflicts", 1)
 	}
-	loop.do(func(now bvclock.Time) { loop.committer.HandleWrite(now, version, err) })
+	loop.handle(func(now bvclock.Time) { loop.committer.HandleWrite(now, version, err) })
 }
 
 func (loop *commitLoop) read(key string) {
@@ -109,20 +109,20 @@
 	if err == nil && len(rows) == 1 {
 		row = rows[0]
 	}
-	loop.do(func(now bvclock.Time) { loop.committer.HandleRead(now, row, err) })
+	loop.handle(func(now bvclock.Time) { loop.committer.HandleRead(now, row, err) })
 }
 
-// flush waits until nothing is left to be written.
-func (loop *commitLoop) flush(limit context.Context) {
-	for limit.Err() == nil {
+// flush waits until all entries are written or the context ends.
+func (loop *commitLoop) flush(ctx context.Context) {
+	for ctx.Err() == nil {
 		loop.mutex.Lock()
 		pending := loop.committer.Pending()
 		loop.mutex.Unlock()
 		if pending == 0 {
 			return
 		}
-		sleep(limit, flushPoll)
+		sleep(ctx, flushPollInterval)
 	}
 }
 
-const flushPoll = 10 * bvclock.Millisecond
+const flushPollInterval = 10 * bvclock.Millisecond
--- a/bvdaemon/daemon.go
+++ b/bvdaemon/daemon.go
@@ -1,6 +1,6 @@
-// Package bvdaemon puts one host's daemon together: the callers' API, the
-// service towards other hosts, the operators' API, and the loops that follow
-// the platform's lists.
+// Package bvdaemon assembles one host's daemon: the callers' API, the peer
+// service for other hosts, the operators' API, and the loops that poll the
+// platform's lists.
 //
 // # Usage
 //
@@ -36,7 +36,7 @@
 	"balsamvalve.example/bvtrace"
 )
 
-// Platform is all that a daemon asks of the platform.
+// Platform is the part of the platform's API that a daemon uses.
 type Platform interface {
 	bvplatform.Store
 	bvplatform.HostList
@@ -45,41 +45,40 @@
 
 // Daemon is one host's process.
 type Daemon struct {
-	settings    bvsetting.Serve
-	log         logrus.FieldLogger
-	clock       bvclock.Clock
-	platform    Platform
-	incarnation string
-	view        *bvhost.View
-	peers       *bvpeer.Pool
-	endpoints   *endpointTable
-	table       *table
-	permits     *bvpermit.Server
-	asker       *bvpermit.Client
-	owner       *bvowner.Owner
-	commits     *commitLoop
-	entry       *bventry.Entry
-	caller      *http.Server
-	operator    *http.Server
-	peer        *grpc.Server
-	listeners   listeners
-	transports  transports
-	traces      *bvtrace.Provider
-	spans       trace.SpanExporter // of an embedding program; may be nil
-	measures    *bvmeasure.Counters
-	ready       atomic.Bool // has the lists and is not leaving
-	stopped     chan struct{}
+	settings     bvsetting.Serve
+	log          logrus.FieldLogger
+	clock        bvclock.Clock
+	platform     Platform
+	incarnation  string
+	view         *bvhost.View
+	peers        *bvpeer.Pool
+	endpoints    *endpointTable
+	table        *table
+	permits      *bvpermit.Server
+	permitClient *bvpermit.Client
+	owner        *bvowner.Owner
+	committer    *commitLoop
+	entry        *bventry.Entry
+	caller       *http.Server
+	operator     *http.Server
+	peer         *grpc.Server
+	listeners    listeners
+	transports   transports
+	traces       *bvtrace.Provider
+	spanExporter trace.SpanExporter // of the embedding program; may be nil
+	measures     *bvmeasure.Counters
+	ready        atomic.Bool // the lists have been read and the host is not leaving
+	stopped      chan struct{}
 }
 
-// listeners are the open ports of a daemon.
+// listeners are the listening sockets of a daemon.
 type listeners struct {
 	caller   net.Listener
 	operator net.Listener
 	peer     net.Listener
 }
 
-// New opens the ports and puts the parts together. Nothing is served before
-// Run.
+// New opens the listeners and assembles the daemon. Nothing is served before Run.
 func New(settings bvsetting.Serve, log logrus.FieldLogger, options ...Option) (*Daemon, error) {
 	daemon := &Daemon{
 		settings:    settings,
@@ -104,24 +103,24 @@
 		return nil, err
 	}
 	daemon.platform = daemon.platformClient()
-	daemon.view.SetSelf(daemon.self(bvplatform.HostLive))
+	daemon.view.SetSelf(daemon.hostEntry(bvplatform.HostLive))
 	daemon.peers = bvpeer.NewPool(daemon.peerCredentials(), daemon.traces.Tracers())
 	daemon.table = newTable(daemon)
-	daemon.build()
+	daemon.buildServers()
 	return daemon, nil
 }
 
-func (daemon *Daemon) build() {
+func (daemon *Daemon) buildServers() {
 	client := &bvendpoint.Client{ProgressTimeout: daemon.settings.SilenceLimit()}
 	limits := bvgate.Limits{MaxQueued: daemon.settings.QueueLimit()}
-	daemon.permits = bvpermit.NewServer(daemon.clock, releaseWith(client), limits, daemon.log)
-	daemon.asker = bvpermit.NewClient(daemon.clock, daemon.view, daemon.peers, daemon.permits, daemon.log)
-	daemon.commits = newCommitLoop(daemon)
+	daemon.permits = bvpermit.NewServer(daemon.clock, newRelease(client), limits, daemon.log)
+	daemon.permitClient = bvpermit.NewClient(daemon.clock, daemon.view, daemon.peers, daemon.permits, daemon.log)
+	daemon.committer = newCommitLoop(daemon)
 	daemon.owner = bvowner.New(ownerName(daemon.view.Self()), bvowner.Parts{
 		Clock:        daemon.clock,
 		Store:        daemon.platform,
-		Committer:    daemon.commits,
-		Permits:      daemon.asker,
+		Committer:    daemon.committer,
+		Permits:      daemon.permitClient,
 		Endpoints:    client,
 		EndpointList: daemon.endpoints,
 		Table:        daemon.table,
@@ -153,10 +152,10 @@
 }
 
 // headerTimeout bounds how long a client may take to send its headers. Without
-// it, clients that send nothing hold connections for ever.
+// it, clients that send nothing hold connections indefinitely.
 const headerTimeout = 10 * bvclock.Second
 
-func releaseWith(client *bvendpoint.Client) bvpermit.Release {
+func newRelease(client *bvendpoint.Client) bvpermit.Release {
 	return func(address, member, program string) bool {
 		ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout.Std())
 		defer cancel()
@@ -194,8 +193,8 @@
 // PeerAddress returns the IP and port that other hosts use.
 func (daemon *Daemon) PeerAddress() string { return daemon.listeners.peer.Addr().String() }
 
-// Name returns the host's name. Where the settings give none it is the peer
-// address, with the port that was chosen.
+// Name returns the host's name. If none is set it is the peer address, with the
+// port that the system assigned if the setting has port 0.
 func (daemon *Daemon) Name() string {
 	name := daemon.settings.HostName()
 	if name == daemon.settings.PeerAddress().String() {
@@ -204,9 +203,9 @@
 	return name
 }
 
-// Ready reports whether the host takes calls: it has the lists, is not leaving,
-// and has a table in force that is confirmed. Without the last, the balancer
-// would send callers to a host that has just started and refuses them all.
+// Ready reports whether the host accepts calls: it has read the lists, is not
+// leaving, and has a confirmed table in force. Without the last condition, the
+// balancer would send callers to a host that has just started and refuses them all.
 func (daemon *Daemon) Ready() bool {
 	_, err := daemon.table.follower.Current()
 	return err == nil && daemon.ready.Load()
@@ -215,10 +214,10 @@
 // HostCount returns the number of hosts in this one's view, itself included.
 func (daemon *Daemon) HostCount() int { return len(daemon.view.Hosts()) }
 
-// Stopped is closed when Run has returned.
+// Stopped returns a channel that is closed when Run returns.
 func (daemon *Daemon) Stopped() <-chan struct{} { return daemon.stopped }
 
-func (daemon *Daemon) self(state bvplatform.HostState) bvplatform.Host {
+func (daemon *Daemon) hostEntry(state bvplatform.HostState) bvplatform.Host {
 	return bvplatform.Host{
 		Name:        daemon.Name(),
 		PeerAddress: daemon.PeerAddress(),
--- a/bvdaemon/endpoint.go
+++ b/bvdaemon/endpoint.go
@@ -9,61 +9,61 @@
 	"balsamvalve.example/bvplatform"
 )
 
-// forgetTime is how long an endpoint must be missing from the list before it
-// counts as gone, with all that it held.
-const forgetTime = bvclock.Minute
+// removalDelay is how long an endpoint must be missing from the list before it
+// counts as removed, together with its cache.
+const removalDelay = bvclock.Minute
 
-// endpointTable is the last list of endpoints, and those that were on it a
-// moment ago. The zero value knows of none.
+// endpointTable holds the last list of endpoints, and the endpoints that were
+// listed within removalDelay. The zero value is empty.
 //
-// It guards against the lag of the list: an endpoint that is missing for a
-// moment, or that a host which has just started has not seen yet, still holds
-// its memory. Taken for gone, its cache would never be released.
+// It compensates for the lag of the list: an endpoint that is briefly missing, or
+// that a host which has just started has not seen yet, still holds its cache. If
+// it counted as removed, its cache would never be released.
 type endpointTable struct {
-	mutex   sync.Mutex
-	listed  []bvplatform.Endpoint
-	seen    map[string]sighting
-	served  map[string]bool // pools that any endpoint has served since this start
-	first   bvclock.Time    // of the lists
-	updated bvclock.Time    // time of the last list; stands still while lists can't be had
+	mutex       sync.Mutex
+	listed      []bvplatform.Endpoint
+	seen        map[string]sighting
+	servedPools map[string]bool // pools that any endpoint has served since the process started
+	firstUpdate bvclock.Time
+	lastUpdate  bvclock.Time // not advanced while the list can't be read
 }
 
-// sighting is when an endpoint was last on the list.
+// sighting is an endpoint and the time at which it was last listed.
 type sighting struct {
-	endpoint bvplatform.Endpoint
-	at       bvclock.Time
+	endpoint   bvplatform.Endpoint
+	lastListed bvclock.Time
 }
 
-// update takes over a new list.
+// update replaces the list with a new one.
 func (table *endpointTable) update(now bvclock.Time, endpoints []bvplatform.Endpoint) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
 	if table.seen == nil {
 		table.seen = make(map[string]sighting)
-		table.served = make(map[string]bool)
-		table.first = now
+		table.servedPools = make(map[string]bool)
+		table.firstUpdate = now
 	}
 	table.listed = endpoints
-	table.updated = now
+	table.lastUpdate = now
 	for _, endpoint := range endpoints {
-		table.seen[endpoint.Name] = sighting{endpoint: endpoint, at: now}
-		table.served[bvpermit.PoolOf(endpoint)] = true
+		table.seen[endpoint.Name] = sighting{endpoint: endpoint, lastListed: now}
+		table.servedPools[bvpermit.PoolOf(endpoint)] = true
 	}
 	for name, sighting := range table.seen {
-		if now.Sub(sighting.at) > forgetTime {
+		if now.Sub(sighting.lastListed) > removalDelay {
 			delete(table.seen, name)
 		}
 	}
 }
 
-// list returns the endpoints as they were listed.
+// list returns the endpoints of the last list.
 func (table *endpointTable) list() []bvplatform.Endpoint {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
 	return table.listed
 }
 
-// Endpoint returns the endpoint with a name, listed now or a moment ago.
+// Endpoint returns the endpoint with the name, if it was listed within removalDelay.
 func (table *endpointTable) Endpoint(name string) (bvplatform.Endpoint, bool) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
@@ -71,13 +71,12 @@
 	return sighting.endpoint, found
 }
 
-// IsGone reports whether the lists of a whole forgetTime were without the
-// endpoint.
+// IsGone reports whether the endpoint was on no list for longer than removalDelay.
 func (table *endpointTable) IsGone(name string) bool {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
 	_, found := table.seen[name]
-	return !found && table.seen != nil && table.updated.Sub(table.first) > forgetTime
+	return !found && table.seen != nil && table.lastUpdate.Sub(table.firstUpdate) > removalDelay
 }
 
 // serves reports whether any listed endpoint serves the model or service.
@@ -88,15 +87,15 @@
 }
 
 // hasServed reports whether any endpoint has served the model or service since
-// this start. One whose endpoints have all failed is not unknown: its callers
-// are told to come back.
+// the process started. One whose endpoints have all failed is not unknown: its
+// callers get an error that asks them to retry.
 func (table *endpointTable) hasServed(kind bvplatform.EndpointKind, name string) bool {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
-	return table.served[bvpermit.PoolName(kind, name)]
+	return table.servedPools[bvpermit.PoolName(kind, name)]
 }
 
-// Engines returns the names of all model engines, listed now or a moment ago.
+// Engines returns the names of all model engines listed within removalDelay.
 func (table *endpointTable) Engines() []string {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
--- a/bvdaemon/follow.go
+++ b/bvdaemon/follow.go
@@ -8,25 +8,26 @@
 	"balsamvalve.example/bvplatform"
 )
 
-// listTimeout bounds one look at the platform's lists.
+// listTimeout bounds one request for a list of the platform.
 const listTimeout = 2 * bvclock.Second
 
-// follow keeps the lists of hosts and endpoints up to date. When the platform
-// is out, the last lists stay: what this host sees itself corrects them.
-func (daemon *Daemon) follow(ctx context.Context) {
+// pollLists keeps the lists of hosts and endpoints up to date. While the platform
+// is unavailable the last lists stay in use, corrected by this host's own
+// observations.
+func (daemon *Daemon) pollLists(ctx context.Context) {
 	hosts := bvlog.Outage{What: "platform's list of hosts", Log: daemon.log}
 	endpoints := bvlog.Outage{What: "platform's list of endpoints", Log: daemon.log}
-	own := bvlog.Outage{What: "platform's list of hosts, for this host's entry,", Log: daemon.log}
+	ownEntry := bvlog.Outage{What: "platform's list of hosts, for this host's entry,", Log: daemon.log}
 	for ctx.Err() == nil {
-		own.Note(daemon.announce(ctx))
-		hosts.Note(daemon.followHosts(ctx))
-		endpoints.Note(daemon.followEndpoints(ctx))
+		ownEntry.Note(daemon.announce(ctx))
+		hosts.Note(daemon.pollHosts(ctx))
+		endpoints.Note(daemon.pollEndpoints(ctx))
 		daemon.shareSuspects(ctx)
 		sleep(ctx, daemon.settings.PollInterval())
 	}
 }
 
-func (daemon *Daemon) followHosts(ctx context.Context) error {
+func (daemon *Daemon) pollHosts(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout.Std())
 	defer cancel()
 	hosts, err := daemon.platform.Hosts(ctx)
@@ -44,7 +45,7 @@
 	return nil
 }
 
-func (daemon *Daemon) followEndpoints(ctx context.Context) error {
+func (daemon *Daemon) pollEndpoints(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout.Std())
 	defer cancel()
 	endpoints, err := daemon.platform.Endpoints(ctx)
@@ -52,20 +53,20 @@
 		return err
 	}
 	daemon.endpoints.update(daemon.clock.Now(), endpoints)
-	daemon.shareTable()
+	daemon.updatePermits()
 	daemon.ready.Store(daemon.view.Self().State == bvplatform.HostLive)
 	return nil
 }
 
-// shareSuspects tells other hosts what this one knows of poisonous requests.
+// shareSuspects sends the suspect requests that this host knows of to other hosts.
 func (daemon *Daemon) shareSuspects(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout.Std())
 	defer cancel()
-	daemon.asker.ShareSuspects(ctx)
-	daemon.measures.Set("suspects_told", daemon.asker.SuspectsSent())
+	daemon.permitClient.ShareSuspects(ctx)
+	daemon.measures.Set("suspects_told", daemon.permitClient.SuspectsSent())
 }
 
-// shareTable gives the decisions the endpoints and the shares in force.
-func (daemon *Daemon) shareTable() {
+// updatePermits passes the current endpoints and the shares in force to the permit server.
+func (daemon *Daemon) updatePermits() {
 	daemon.permits.Update(daemon.endpoints.list(), daemon.table.shares())
 }
--- a/bvdaemon/operator.go
+++ b/bvdaemon/operator.go
@@ -8,7 +8,7 @@
 	"balsamvalve.example/bvtable"
 )
 
-// operatorHandler serves what operators and the balancer look at.
+// operatorHandler serves the API of operators and the balancer's readiness check.
 func (daemon *Daemon) operatorHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /ready", daemon.serveReady)
--- a/bvdaemon/peer.go
+++ b/bvdaemon/peer.go
@@ -6,7 +6,7 @@
 	"balsamvalve.example/bvpeer"
 )
 
-// peerService is what other hosts may ask of this one.
+// peerService implements the gRPC service that other hosts call.
 type peerService struct {
 	bvpeer.UnimplementedPeerServer
 	daemon *Daemon
@@ -51,7 +51,7 @@
 }
 
 // ShareSuspects implements bvpeer.PeerServer.
-func (service *peerService) ShareSuspects(_ context.Context, told *bvpeer.Suspects) (*bvpeer.SuspectsReply, error) {
-	service.daemon.permits.AddSuspects(told)
+func (service *peerService) ShareSuspects(_ context.Context, suspects *bvpeer.Suspects) (*bvpeer.SuspectsReply, error) {
+	service.daemon.permits.AddSuspects(suspects)
 	return &bvpeer.SuspectsReply{}, nil
 }
--- a/bvdaemon/ready_test.go
+++ b/bvdaemon/ready_test.go
@@ -29,15 +29,15 @@
 		platform.ServeHTTP(writer, request)
 	}))
 	t.Cleanup(server.Close)
-	daemon := startAlone(t, server.Listener.Addr().String())
+	daemon := startDaemon(t, server.Listener.Addr().String())
 	require.Eventually(t, daemon.ready.Load, 30*time.Second, 5*time.Millisecond, "the lists are read")
 	require.False(t, daemon.Ready())
 	tableOpen.Store(true)
 	require.Eventually(t, daemon.Ready, 30*time.Second, 5*time.Millisecond)
 }
 
-// startAlone runs a daemon before a platform until the test ends.
-func startAlone(t *testing.T, platform string) *Daemon {
+// startDaemon runs a daemon with the given platform until the test ends.
+func startDaemon(t *testing.T, platform string) *Daemon {
 	t.Helper()
 	flags := pflag.NewFlagSet("serve", pflag.ContinueOnError)
 	bvsetting.AddFlags(flags)
--- a/bvdaemon/reclaim.go
+++ b/bvdaemon/reclaim.go
@@ -8,20 +8,20 @@
 	"balsamvalve.example/bvplatform"
 )
 
-// How programs that nobody ends are looked for.
+// Parameters of the scan for abandoned programs.
 const (
 	reclaimInterval = 30 * bvclock.Second
-	reclaimPage     = 500
-	reclaimPlace    = "reclaim"
+	reclaimPageRows = 500
+	reclaimKey      = "reclaim"
 )
 
-// reclaim looks for programs of dead hosts that nobody will call again: they
-// would hold engine memory for ever. One host looks for all; when two have
-// different views and both look, a conditional write decides.
-func (daemon *Daemon) reclaim(ctx context.Context) {
+// reclaimPrograms scans for programs of failed hosts that no caller continues: they
+// would hold engine memory indefinitely. One host scans for all; if two hosts scan
+// because their views differ, a conditional write decides which one succeeds.
+func (daemon *Daemon) reclaimPrograms(ctx context.Context) {
 	for ctx.Err() == nil {
 		sleep(ctx, reclaimInterval)
-		first := daemon.view.Candidates(daemon.clock.Now(), reclaimPlace)[0]
+		first := daemon.view.Candidates(daemon.clock.Now(), reclaimKey)[0]
 		if first.Name != daemon.Name() {
 			continue
 		}
@@ -41,12 +41,12 @@
 	var rows []bvplatform.Row
 	after := ""
 	for {
-		page, err := daemon.platform.Scan(ctx, bvledger.HeadTable, after, reclaimPage)
+		page, err := daemon.platform.Scan(ctx, bvledger.HeadTable, after, reclaimPageRows)
 		if err != nil {
 			return nil, err
 		}
 		rows = append(rows, page...)
-		if len(page) < reclaimPage {
+		if len(page) < reclaimPageRows {
 			return rows, nil
 		}
 		after = page[len(page)-1].Key
@@ -64,7 +64,7 @@
 	return false
 }
 
-// ownerName is how a host's ledger signs its rows.
+// ownerName returns the owner that a host's ledger writes in its rows.
 func ownerName(host bvplatform.Host) string {
 	return host.Name + "/" + host.Incarnation
 }
--- a/bvdaemon/run.go
+++ b/bvdaemon/run.go
@@ -13,15 +13,16 @@
 	"balsamvalve.example/bvtls"
 )
 
-// How a planned stop goes: first the host says that it is leaving, then it
-// goes on serving until the balancer and the other hosts have seen it.
+// Phases of a graceful stop: the host announces that it is leaving and continues to
+// serve for leaveDelay, until the balancer and the other hosts have seen it.
 const (
-	leaveTime    = 2 * bvclock.Second
-	announceTime = 2 * bvclock.Second
-	handoverTime = 5 * bvclock.Second
+	leaveDelay      = 2 * bvclock.Second
+	announceTimeout = 2 * bvclock.Second
+	handoverTimeout = 5 * bvclock.Second
 )
 
-// Run serves until ctx ends, and then stops without cutting off a request.
+// Run serves until ctx ends, and then stops gracefully: requests in flight complete
+// within the stop limit.
 func (daemon *Daemon) Run(ctx context.Context) error {
 	defer close(daemon.stopped)
 	daemon.log.WithField("callers", daemon.CallerAddress()).
@@ -31,16 +32,16 @@
 	defer stopLoops()
 	group, groupContext := errgroup.WithContext(context.Background())
 	group.Go(func() error {
-		return serve(daemon.serveHTTP(daemon.caller, daemon.listeners.caller, bvtls.SignedClients))
+		return ignoreServerClosed(daemon.serveHTTP(daemon.caller, daemon.listeners.caller, bvtls.SignedClients))
 	})
 	group.Go(func() error {
-		return serve(daemon.serveHTTP(daemon.operator, daemon.listeners.operator, bvtls.AnyClient))
+		return ignoreServerClosed(daemon.serveHTTP(daemon.operator, daemon.listeners.operator, bvtls.AnyClient))
 	})
 	group.Go(func() error { return daemon.peer.Serve(daemon.listeners.peer) })
-	group.Go(func() error { daemon.commits.run(loops); return nil })
-	group.Go(func() error { daemon.follow(loops); return nil })
+	group.Go(func() error { daemon.committer.run(loops); return nil })
+	group.Go(func() error { daemon.pollLists(loops); return nil })
 	group.Go(func() error { daemon.table.run(loops); return nil })
-	group.Go(func() error { daemon.reclaim(loops); return nil })
+	group.Go(func() error { daemon.reclaimPrograms(loops); return nil })
 	select {
 	case <-ctx.Done():
 	case <-groupContext.Done():
@@ -51,58 +52,58 @@
 	return group.Wait()
 }
 
-func serve(err error) error {
+func ignoreServerClosed(err error) error {
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
 	return err
 }
 
-// stop is the graceful stop. The order matters: a host that closed its ports
-// before the others knew of it would refuse calls that the balancer and the
-// entries still send.
+// stop stops the daemon gracefully. The order matters: a host that closed its
+// listeners before the others know that it is leaving would refuse calls that the
+// balancer and the entries still send.
 func (daemon *Daemon) stop() {
 	daemon.log.Info("leaving")
-	limit, cancel := context.WithTimeout(context.Background(), daemon.settings.StopLimit().Std())
+	ctx, cancel := context.WithTimeout(context.Background(), daemon.settings.StopLimit().Std())
 	defer cancel()
 	daemon.ready.Store(false)
 	daemon.owner.Leave()
-	daemon.view.SetSelf(daemon.self(bvplatform.HostLeaving))
-	if err := daemon.announce(limit); err != nil {
+	daemon.view.SetSelf(daemon.hostEntry(bvplatform.HostLeaving))
+	if err := daemon.announce(ctx); err != nil {
 		daemon.log.WithError(err).Warn("the stop could not be announced")
 	}
-	sleep(limit, leaveTime)
-	_ = daemon.caller.Shutdown(limit)
-	daemon.waitForCalls(limit)
-	daemon.waitForHandover(limit)
-	daemon.commits.flush(limit)
-	daemon.stopPeers(limit)
-	_ = daemon.operator.Shutdown(limit)
-	daemon.flushTraces(limit)
+	sleep(ctx, leaveDelay)
+	_ = daemon.caller.Shutdown(ctx)
+	daemon.waitForCalls(ctx)
+	daemon.waitForHandover(ctx)
+	daemon.committer.flush(ctx)
+	daemon.stopPeers(ctx)
+	_ = daemon.operator.Shutdown(ctx)
+	daemon.flushTraces(ctx)
 	daemon.log.Info("stopped")
 }
 
-func (daemon *Daemon) waitForCalls(limit context.Context) {
+func (daemon *Daemon) waitForCalls(ctx context.Context) {
 	for !daemon.owner.IsIdle() {
-		if limit.Err() != nil {
+		if ctx.Err() != nil {
 			daemon.log.Warn("calls were still under way at the stop limit")
 			return
 		}
-		sleep(limit, flushPoll)
+		sleep(ctx, flushPollInterval)
 	}
 }
 
-// waitForHandover waits, within a bound, until the programs are handed over.
-// What is left is taken over like the programs of a host that died.
-func (daemon *Daemon) waitForHandover(limit context.Context) {
-	limit, cancel := context.WithTimeout(limit, handoverTime.Std())
+// waitForHandover waits up to handoverTimeout until the programs are handed over.
+// The remaining ones are taken over like the programs of a failed host.
+func (daemon *Daemon) waitForHandover(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, handoverTimeout.Std())
 	defer cancel()
-	for limit.Err() == nil && !daemon.owner.HasLeft() {
-		sleep(limit, flushPoll)
+	for ctx.Err() == nil && !daemon.owner.HasLeft() {
+		sleep(ctx, flushPollInterval)
 	}
 }
 
-func (daemon *Daemon) stopPeers(limit context.Context) {
+func (daemon *Daemon) stopPeers(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
 		daemon.peer.GracefulStop()
@@ -110,7 +111,7 @@
 	}()
 	select {
 	case <-done:
-	case <-limit.Done():
+	case <-ctx.Done():
 		daemon.peer.Stop()
 	}
 }
@@ -123,7 +124,7 @@
 }
 
 func (daemon *Daemon) announce(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, announceTime.Std())
+	ctx, cancel := context.WithTimeout(ctx, announceTimeout.Std())
 	defer cancel()
 	return daemon.platform.Announce(ctx, daemon.view.Self())
 }
--- a/bvdaemon/status.go
+++ b/bvdaemon/status.go
@@ -9,14 +9,14 @@
 	"balsamvalve.example/bvstatus"
 )
 
-// status asks all hosts and returns what operators of a member may see.
+// status queries all hosts and returns the status that operators of a member may see.
 func (daemon *Daemon) status(ctx context.Context, member string) bvstatus.Status {
 	var listed []bvstatus.Report
 	for _, host := range daemon.view.Hosts() {
 		listed = append(listed, bvstatus.NewSilentReport(host.Name, host.Zone, host.State.String()))
 	}
 	reports := bvstatus.Gather(ctx, listed, func(ctx context.Context, host string) (bvstatus.Report, error) {
-		return daemon.askStatus(ctx, host, member)
+		return daemon.queryStatus(ctx, host, member)
 	})
 	status := bvstatus.Merge(member, daemon.statusEndpoints(), daemon.statusMembers(), reports)
 	status.Host = daemon.Name()
@@ -47,7 +47,7 @@
 	return members
 }
 
-func (daemon *Daemon) askStatus(ctx context.Context, name, member string) (bvstatus.Report, error) {
+func (daemon *Daemon) queryStatus(ctx context.Context, name, member string) (bvstatus.Report, error) {
 	if name == daemon.Name() {
 		return daemon.report(member), nil
 	}
@@ -75,7 +75,7 @@
 	return &bvpeer.StatusReply{Status: encoded}, nil
 }
 
-// report is what this host says of itself and of a member.
+// report returns this host's report on itself and on a member.
 func (daemon *Daemon) report(member string) bvstatus.Report {
 	self := daemon.view.Self()
 	version, confirmed := daemon.table.follower.VersionInForce()
@@ -88,38 +88,38 @@
 		Confirmed: daemon.clock.Now().Sub(confirmed),
 		Refusing:  refusing != nil,
 	}
-	daemon.reportPools(&report, member)
-	daemon.reportMember(&report, member)
+	daemon.addPools(&report, member)
+	daemon.addMember(&report, member)
 	return report
 }
 
-func (daemon *Daemon) reportPools(report *bvstatus.Report, member string) {
+func (daemon *Daemon) addPools(report *bvstatus.Report, member string) {
 	for _, pool := range daemon.permits.Status() {
-		decides := daemon.view.Candidates(daemon.clock.Now(), "pool/"+pool.Pool)[0].Name == report.Host
+		isGrantor := daemon.view.Candidates(daemon.clock.Now(), "pool/"+pool.Pool)[0].Name == report.Host
 		for _, endpoint := range pool.Endpoints {
 			if endpoint.Running == 0 && !endpoint.Ejected {
-				continue // nothing that the list of endpoints doesn't tell
+				continue // the list of endpoints already has all of it
 			}
 			report.Endpoints = append(report.Endpoints, bvstatus.EndpointReport{
 				Endpoint: endpoint.Name,
 				Running:  endpoint.Running,
-				// A host that no longer decides probes no more, and would
-				// show an endpoint as ejected for ever.
-				Ejected: endpoint.Ejected && decides,
+				// A host that is no longer the pool's grantor does not probe, and
+				// would show an endpoint as ejected indefinitely.
+				Ejected: endpoint.Ejected && isGrantor,
 			})
 		}
-		for _, found := range pool.Members {
-			if found.Member != member {
+		for _, memberStatus := range pool.Members {
+			if memberStatus.Member != member {
 				continue
 			}
-			report.Member.Queued += found.Queued
-			report.Member.Running += found.Running
-			report.Member.Work += float64(found.RecentWork)
+			report.Member.Queued += memberStatus.Queued
+			report.Member.Running += memberStatus.Running
+			report.Member.Work += float64(memberStatus.RecentWork)
 		}
 	}
 }
 
-func (daemon *Daemon) reportMember(report *bvstatus.Report, member string) {
+func (daemon *Daemon) addMember(report *bvstatus.Report, member string) {
 	report.Member.Programs = daemon.owner.ProgramCount(member)
 	report.Member.Refusals = daemon.measures.Refusals(member)
 	report.Member.Known = report.Member.Programs > 0 || len(report.Member.Refusals) > 0
--- a/bvdaemon/table.go
+++ b/bvdaemon/table.go
@@ -13,7 +13,7 @@
 	"balsamvalve.example/bvverdict"
 )
 
-// table is the operators' table as this host follows it.
+// table is this host's replica of the operators' table.
 type table struct {
 	daemon   *Daemon
 	follower *bvtable.Follower
@@ -39,12 +39,12 @@
 	return version
 }
 
-// Row implements bvowner.Table. A host that has just started and knows no table yet leaves
-// the call to another one.
+// Row implements bvowner.Table. A host that has just started and has no table yet refuses
+// with NotOwner, so that another host runs the call.
 func (table *table) Row(member, class string) (bvtable.Row, error) {
 	snapshot := table.follower.Snapshot()
 	if snapshot == nil {
-		return bvtable.Row{}, bvverdict.Refuse(bvverdict.NotOwner, "this host knows no operators' table yet")
+		return bvtable.Row{}, bvverdict.Refuse(bvverdict.NotOwner, "this host has not loaded the operators' table yet")
 	}
 	if snapshot.Len() == 0 {
 		// Nothing was ever configured: every member with a key has an equal
@@ -75,28 +75,28 @@
 
 func (table *table) admitTarget(kind bvplatform.EndpointKind, name string, allowed []string, unknown bvverdict.Code) error {
 	if len(allowed) > 0 && !contains(allowed, name) {
-		return bvverdict.Refuse(bvverdict.Forbidden, "the operators' table does not allow %s %s", wordFor(kind), name)
+		return bvverdict.Refuse(bvverdict.Forbidden, "the operators' table does not allow %s %s", kindName(kind), name)
 	}
 	if table.daemon.endpoints.serves(kind, name) {
 		return nil
 	}
 	if table.daemon.endpoints.hasServed(kind, name) {
-		return bvverdict.Refuse(bvverdict.Overloaded, "no endpoint serves %s %s now", wordFor(kind), name).
+		return bvverdict.Refuse(bvverdict.Overloaded, "no endpoint serves %s %s now", kindName(kind), name).
 			WithRetryAfter(retryAfterNoEndpoint)
 	}
-	return bvverdict.Refuse(unknown, "no endpoint serves %s %s", wordFor(kind), name)
+	return bvverdict.Refuse(unknown, "no endpoint serves %s %s", kindName(kind), name)
 }
 
-// wordFor is what callers call that which endpoints of a kind serve.
-func wordFor(kind bvplatform.EndpointKind) string {
+// kindName returns the word in error messages for what endpoints of the kind serve.
+func kindName(kind bvplatform.EndpointKind) string {
 	if kind == bvplatform.Engine {
 		return "model"
 	}
 	return kind.String()
 }
 
-// retryAfterNoEndpoint is told when all endpoints of a model or service have
-// failed; one that restarts is listed within this time.
+// retryAfterNoEndpoint is the Retry-After when all endpoints of a model or service
+// have failed; an endpoint that restarts is listed within this time.
 const retryAfterNoEndpoint = 5 * bvclock.Second
 
 func contains(names []string, name string) bool {
@@ -108,7 +108,7 @@
 	return false
 }
 
-// shares are the members' weights for the decisions.
+// shares returns the members' weights and limits for the permit server.
 func (table *table) shares() []bvgate.MemberShare {
 	snapshot := table.follower.Snapshot()
 	if snapshot == nil {
@@ -128,7 +128,8 @@
 	return shares
 }
 
-// tablePeers asks other hosts for their tables, and confirms versions there.
+// tablePeers requests snapshots of the table from other hosts and confirms versions
+// there.
 type tablePeers struct {
 	daemon *Daemon
 }
@@ -192,7 +193,7 @@
 	if err != nil {
 		return nil, err
 	}
-	service.daemon.shareTable()
+	service.daemon.updatePermits()
 	return &bvpeer.TableConfirmation{Version: version}, nil
 }
 
--- a/bvdaemon/table_test.go
+++ b/bvdaemon/table_test.go
@@ -9,7 +9,8 @@
 	"balsamvalve.example/bvverdict"
 )
 
-// Guards against a host that has just started and forbids a call that the table allows.
+// Guards against a host that, before it has loaded the table, forbids a call that the table
+// allows.
 func TestHostWithoutATableLeavesCallsToAnother(t *testing.T) {
 	table := &table{follower: &bvtable.Follower{}}
 	_, err := table.Row("piran", "")
--- a/bvdaemon/tls.go
+++ b/bvdaemon/tls.go
@@ -11,7 +11,7 @@
 	"balsamvalve.example/bvtls"
 )
 
-// transports are the sources of TLS; nil where the connections are plain.
+// transports are the TLS sources; nil where connections use plain TCP.
 type transports struct {
 	caller   *bvtls.Source
 	peer     *bvtls.Source
@@ -19,17 +19,17 @@
 }
 
 func (daemon *Daemon) openTransports() (err error) {
-	if daemon.transports.caller, err = daemon.transport(daemon.settings.CallerTLS()); err != nil {
+	if daemon.transports.caller, err = daemon.openTransport(daemon.settings.CallerTLS()); err != nil {
 		return err
 	}
-	if daemon.transports.peer, err = daemon.transport(daemon.settings.PeerTLS()); err != nil {
+	if daemon.transports.peer, err = daemon.openTransport(daemon.settings.PeerTLS()); err != nil {
 		return err
 	}
-	daemon.transports.platform, err = daemon.transport(daemon.settings.PlatformTLS())
+	daemon.transports.platform, err = daemon.openTransport(daemon.settings.PlatformTLS())
 	return err
 }
 
-func (daemon *Daemon) transport(files bvsetting.TLS) (*bvtls.Source, error) {
+func (daemon *Daemon) openTransport(files bvsetting.TLS) (*bvtls.Source, error) {
 	if !files.Enabled() {
 		return nil, nil
 	}
@@ -40,7 +40,7 @@
 	}, daemon.log)
 }
 
-// peerCredentials returns nil where the hosts talk in plain.
+// peerCredentials returns nil if connections between hosts use plain TCP.
 func (daemon *Daemon) peerCredentials() credentials.TransportCredentials {
 	if daemon.transports.peer == nil {
 		return nil
@@ -56,9 +56,9 @@
 	return client
 }
 
-// serveHTTP serves until the server is shut down, with TLS where it is set.
-// Operators' clients bear keys; the balancer, which asks the same port for
-// /ready, has no certificate.
+// serveHTTP serves until the server is shut down, with TLS if it is configured. The
+// operators' port can't require client certificates, because the balancer, which
+// polls /ready there, has none; operators authenticate with keys.
 func (daemon *Daemon) serveHTTP(server *http.Server, listener net.Listener, check bvtls.ClientCheck) error {
 	if daemon.transports.caller == nil {
 		return server.Serve(listener)
--- a/bvdaemon/trace.go
+++ b/bvdaemon/trace.go
@@ -9,13 +9,13 @@
 	"balsamvalve.example/bvtrace"
 )
 
-// Option changes how a daemon is put together.
+// Option configures a daemon.
 type Option func(daemon *Daemon)
 
 // WithSpanExporter passes the spans to an exporter of a program that embeds the
-// daemon, in place of the one of the settings.
+// daemon, in place of the exporter in the settings.
 func WithSpanExporter(exporter trace.SpanExporter) Option {
-	return func(daemon *Daemon) { daemon.spans = exporter }
+	return func(daemon *Daemon) { daemon.spanExporter = exporter }
 }
 
 func (daemon *Daemon) openTraces() (err error) {
@@ -26,14 +26,14 @@
 		Host:        daemon.Name(),
 		Zone:        daemon.settings.Zone(),
 		Incarnation: daemon.incarnation,
-		Spans:       daemon.spans,
+		Spans:       daemon.spanExporter,
 	})
 	return err
 }
 
-// flushTraces exports the spans that are left.
-func (daemon *Daemon) flushTraces(limit context.Context) {
-	if err := daemon.traces.Shutdown(limit); err != nil {
+// flushTraces exports the remaining spans.
+func (daemon *Daemon) flushTraces(ctx context.Context) {
+	if err := daemon.traces.Shutdown(ctx); err != nil {
 		daemon.log.WithError(err).Warn("spans could not be exported")
 	}
 }
