--- a/bvmodel/flow.go
+++ b/bvmodel/advance.go
@@ -6,9 +6,10 @@
 	"balsamvalve.example/bvclock"
 )
 
-// runUntil carries out all changes up to now, each at its exact time. A change
-// that is due later by an arithmetic error counts as due: Next has rounded it
-// down to now, and its user would ask for the same time again without end.
+// advanceThrough ends all phases that are due up to now, each at its exact time. A
+// phase end that is later by arithmeticError counts as due: Next has rounded it
+// down to now, and otherwise the caller would advance to the same time in an
+// endless loop.
 func (engine *Engine) advanceThrough(now float64) {
 	for {
 		at, call := engine.nextPhaseEnd()
@@ -23,7 +24,7 @@
 	}
 }
 
-// flow moves prefill and decode on to a time, up to which nothing changes.
+// advanceTo progresses prefill and decode to a time. No phase may end before it.
 func (engine *Engine) advanceTo(to float64) {
 	passed := to - engine.now
 	engine.now = to
@@ -45,18 +46,18 @@
 }
 
 func (engine *Engine) serviceCounter(salt string) *Service {
-	served := engine.served[salt]
+	served := engine.service[salt]
 	if served == nil {
-		if engine.served == nil {
-			engine.served = make(map[string]*Service)
+		if engine.service == nil {
+			engine.service = make(map[string]*Service)
 		}
 		served = &Service{}
-		engine.served[salt] = served
+		engine.service[salt] = served
 	}
 	return served
 }
 
-// change ends the prefill or the decode of a call.
+// endPhase ends the prefill or the decode of a call.
 func (engine *Engine) endPhase(at int) {
 	call := engine.batch[at]
 	if !call.decoding {
@@ -72,7 +73,8 @@
 	engine.admit()
 }
 
-// nextChange returns when the next prefill or decode ends, and whose.
+// nextPhaseEnd returns the time at which the next prefill or decode ends, and the
+// batch index of its call, or -1.
 func (engine *Engine) nextPhaseEnd() (float64, int) {
 	soonest, which := math.Inf(1), -1
 	if at := engine.prefillingIndex(); at >= 0 {
@@ -90,7 +92,7 @@
 	return soonest, which
 }
 
-// prefilling returns the place of the call that is being prefilled, or -1.
+// prefillingIndex returns the batch index of the call that is being prefilled, or -1.
 func (engine *Engine) prefillingIndex() int {
 	best := -1
 	for at, call := range engine.batch {
--- a/bvmodel/call.go
+++ b/bvmodel/call.go
@@ -8,19 +8,20 @@
 // Call is one request to a model.
 type Call struct {
 	ID           CallID
-	Salt         string // member; prefixes of two salts are never shared
-	Prefix       string // key of the program whose history the prompt repeats
-	PromptTokens int    // whole prompt, history included
-	PrefixTokens int    // of the prompt, the program's earlier history
+	Salt         string // member; calls of different salts never share cached prefixes
+	Prefix       string // key of the program whose history starts the prompt
+	PromptTokens int    // full prompt, history included
+	PrefixTokens int    // part of the prompt that is the program's earlier history
 	OutputTokens int
-	Priority     int // higher goes first
+	Priority     int // higher runs first
 }
 
 func (call Call) key() prefixKey {
 	return prefixKey{salt: call.Salt, prefix: call.Prefix}
 }
 
-// memory is what the call occupies from its start to its end.
+// memory returns the tokens of cache memory that the call reserves from its start to
+// its end.
 func (call Call) memory(limit int) int {
 	return min(call.PromptTokens+call.outputTokens(), limit)
 }
@@ -29,19 +30,19 @@
 	return max(call.OutputTokens, 1)
 }
 
-// running is a call that occupies a slot. It is prefilled first and then
+// runningCall is a call that occupies a slot. It is prefilled first and then
 // decoded.
 type runningCall struct {
 	Call
-	memory        int
-	cached        int
-	unprefilled   float64 // tokens left to prefill
-	decoding      bool
-	finishDecoded float64 // value of Engine.decoded at which the last token is out
-	programEnded  bool    // its program ended while it ran
+	reservedMemory int
+	cached         int
+	unprefilled    float64 // tokens
+	decoding       bool
+	finishDecoded  float64 // value of Engine.decoded at which the last token is generated
+	programEnded   bool    // its program ended while it ran
 }
 
-// decodedBy is how many tokens after the first one are out.
+// decodedTokens returns how many tokens after the first one have been generated.
 func (call *runningCall) decodedTokens(decoded float64) float64 {
 	if !call.decoding {
 		return 0
@@ -49,7 +50,7 @@
 	return float64(call.outputTokens()-1) - max(0, call.finishDecoded-decoded)
 }
 
-// kept is how many tokens of the prompt are certainly in the cache.
+// cachedPromptTokens returns a lower bound of the prompt's tokens in the cache.
 func (call *runningCall) cachedPromptTokens() int {
 	if call.decoding {
 		return call.PromptTokens
@@ -71,7 +72,7 @@
 
 //go:generate stringer -type=EventKind -linecomment -output=eventkind_string.go
 
-// EventKind is what happened in an engine.
+// EventKind is a kind of engine event.
 type EventKind int
 
 // The kinds of events.
@@ -82,13 +83,12 @@
 	Evicted                     // evicted
 )
 
-// Event is something that happened in an engine. At is rounded up to whole
-// milliseconds.
+// Event is a state change in an engine. At is rounded up to whole milliseconds.
 type Event struct {
 	At           bvclock.Time
 	Kind         EventKind
 	Call         CallID // 0 for Evicted
-	CachedTokens int    // of the call's prompt; for Evicted the tokens lost
+	CachedTokens int    // of the call's prompt; for Evicted, the evicted tokens
 	OutputTokens int    // for Finished
 	Salt         string
 	Prefix       string
--- a/bvmodel/engine.go
+++ b/bvmodel/engine.go
@@ -1,15 +1,15 @@
 // Package bvmodel is a small model of a model engine with continuous batching,
 // in virtual time.
 //
-// The model is fluid: prompts are prefilled one at a time at a fixed rate,
-// first by priority and then by arrival; all prefilled calls are decoded side
-// by side, each at a rate that falls with the number of calls in the batch.
-// Memory holds the KV cache of running calls and, in what is left, the prefixes
-// of programs whose last call ended here, of which the least recently used is
-// evicted first. Prefixes are salted with the member, so that no member's call
-// ever gains from another's.
+// The model is fluid, with fractional tokens: prompts are prefilled one at a time
+// at a fixed rate, by priority and then by arrival; all prefilled calls are decoded
+// concurrently, each at a rate that falls with the number of calls in the batch.
+// Memory holds the KV cache of running calls and, in the remaining space, the
+// prefixes of programs whose last call ended here, of which the least recently
+// used is evicted first. Prefixes are salted with the member, so that no member's
+// call ever uses another member's cache.
 //
-// An Engine knows no clock and starts nothing: its user tells it the time.
+// An Engine has no clock and starts no goroutines: the caller passes the time.
 // It is not safe for concurrent use.
 //
 // # Usage
@@ -34,11 +34,10 @@
 	"balsamvalve.example/bvclock"
 )
 
-// arithmeticError is a difference of tokens or milliseconds that comes from
-// the arithmetic alone.
+// arithmeticError bounds the floating-point error in tokens and milliseconds.
 const arithmeticError = 1e-6
 
-// Values that a zero Config stands for.
+// Defaults of Config.
 const (
 	defaultSlots          = 16
 	defaultCacheTokens    = 200_000
@@ -47,14 +46,14 @@
 	millisecondsPerSecond = 1000
 )
 
-// Config describes an engine. A zero field stands for its default.
+// Config describes an engine. A zero field selects its default.
 type Config struct {
-	Slots                  int     // calls batched at once; 16
+	Slots                  int     // maximum calls in the batch; 16
 	CacheTokens            int     // memory for KV cache; 200,000
 	PrefillTokensPerSecond float64 // of the engine; 8,000
-	DecodeTokensPerSecond  float64 // of one call that runs alone; 60
-	// Slowdown is by how much each further call in the batch stretches the
-	// time between two tokens of every call, as a share of the time alone.
+	DecodeTokensPerSecond  float64 // of a call that is alone in the batch; 60
+	// Slowdown is the increase of the time between two tokens of every call for
+	// each further call in the batch, as a fraction of that time for a call alone.
 	Slowdown float64
 }
 
@@ -76,18 +75,18 @@
 
 // Engine is one model engine.
 type Engine struct {
-	config     Config
-	now        float64
-	waiting    []Call         // by priority, then arrival
-	batch      []*runningCall // in the order of their start
-	decoded    float64        // tokens that a call decoded from the beginning would have by now
-	memory     int            // of the batch
-	cache      prefixCache
-	waste      Waste
-	prefilled  float64             // tokens
-	recomputed float64             // of the prefilled tokens, history that no cache held
-	served     map[string]*Service // by salt
-	events     []Event
+	config           Config
+	now              float64
+	waiting          []Call         // by priority, then by arrival
+	batch            []*runningCall // in order of start
+	decoded          float64        // tokens of an imaginary call that has been decoding since time 0
+	reservedMemory   int            // tokens reserved by the batch
+	cache            prefixCache
+	waste            Waste
+	prefilledTokens  float64             // tokens
+	recomputedTokens float64             // prefilled tokens that were history no longer in the cache
+	service          map[string]*Service // by salt
+	events           []Event
 }
 
 // New returns an idle engine with an empty cache.
@@ -95,8 +94,8 @@
 	return &Engine{config: config.withDefaults()}
 }
 
-// Submit takes a call at a time not before that of the last method call.
-// Events that were due come with the next Advance.
+// Submit adds a call. The time must not be before that of the last method call.
+// The next Advance returns events that are due.
 func (engine *Engine) Submit(now bvclock.Time, call Call) {
 	engine.advanceThrough(float64(now))
 	at, _ := slices.BinarySearchFunc(engine.waiting, call.Priority, func(waiting Call, priority int) int {
@@ -109,7 +108,7 @@
 	engine.admit()
 }
 
-// Advance moves the engine to a time and returns what happened since the last
+// Advance moves the engine to a time and returns the events since the last
 // Advance, in order.
 func (engine *Engine) Advance(now bvclock.Time) []Event {
 	engine.advanceThrough(float64(now))
@@ -118,8 +117,8 @@
 	return events
 }
 
-// Next returns the time of the next event, or of the earliest one that
-// Advance has not handed out yet.
+// Next returns the time of the next event, or of the earliest one that Advance has
+// not returned yet.
 func (engine *Engine) Next() (bvclock.Time, bool) {
 	if len(engine.events) > 0 {
 		return engine.events[0].At, true
@@ -131,8 +130,8 @@
 	return roundUp(at), true
 }
 
-// Cancel ends a call that waits or runs, and reports whether there was one.
-// What a running call has in the cache by then stays cached.
+// Cancel removes a waiting or running call and reports whether it was found. The
+// tokens that a running call has cached so far stay cached.
 func (engine *Engine) Cancel(now bvclock.Time, id CallID) bool {
 	engine.advanceThrough(float64(now))
 	for at, call := range engine.waiting {
@@ -151,7 +150,7 @@
 	return false
 }
 
-// Release drops what is cached for a program. A call that runs is not touched.
+// Release drops a program's cached prefix. It does not affect running calls.
 func (engine *Engine) Release(now bvclock.Time, salt, prefix string) {
 	engine.advanceThrough(float64(now))
 	cached := engine.cache.remove(prefixKey{salt, prefix})
@@ -162,8 +161,8 @@
 	engine.admit()
 }
 
-// EndProgram tells that a program has ended, for the count of wasted cache
-// only. A real engine does not know.
+// EndProgram marks a program as ended. This affects only the count of wasted
+// cache; a real engine does not receive this information.
 func (engine *Engine) EndProgram(now bvclock.Time, salt, prefix string) {
 	engine.advanceThrough(float64(now))
 	key := prefixKey{salt, prefix}
@@ -173,17 +172,17 @@
 		}
 	}
 	cached := engine.cache.get(key)
-	if cached == nil || cached.ended {
+	if cached == nil || cached.programEnded {
 		return
 	}
-	cached.ended = true
-	cached.endedAt = engine.now
+	cached.programEnded = true
+	cached.programEndedAt = engine.now
 }
 
-// Crash loses all calls and the whole cache, and returns the calls that were
-// running and then those that were waiting. The engine is empty afterwards.
-// What the cache had cost until then is not counted as waste, because no
-// decision about the cache lost it.
+// Crash discards all calls and the entire cache, and returns first the calls that
+// were running and then those that were waiting. The engine is empty afterwards.
+// The discarded cache is not counted as waste, because it was not lost by a cache
+// decision.
 func (engine *Engine) Crash(now bvclock.Time) []CallID {
 	engine.advanceThrough(float64(now))
 	lost := make([]CallID, 0, len(engine.batch)+len(engine.waiting))
@@ -195,33 +194,33 @@
 	}
 	engine.waiting = nil
 	engine.batch = nil
-	engine.memory = 0
+	engine.reservedMemory = 0
 	engine.cache.clear()
 	return lost
 }
 
-// Waste returns the wasted cache until now, that of prefixes which are still
-// held for ended programs included.
+// Waste returns the wasted cache until now, including prefixes that are still
+// cached for ended programs.
 func (engine *Engine) Waste(now bvclock.Time) Waste {
 	engine.advanceThrough(float64(now))
 	waste := engine.waste
 	for element := engine.cache.byLastUse.Front(); element != nil; element = element.Next() {
 		cached := element.Value.(*cachedPrefix)
-		if cached.ended {
+		if cached.programEnded {
 			waste.charge(cached, engine.now)
 		}
 	}
 	return waste
 }
 
-// admit starts waiting calls while a slot and memory are free. The first one
-// that does not fit holds the others back, so that a large call is not passed
-// by small ones for ever.
+// admit starts waiting calls while a slot and memory are free. The first call that
+// does not fit blocks those behind it, so that small calls cannot overtake a large
+// one indefinitely.
 func (engine *Engine) admit() {
 	for len(engine.waiting) > 0 && len(engine.batch) < engine.config.Slots {
 		call := engine.waiting[0]
 		need := call.memory(engine.config.CacheTokens)
-		if engine.memory+need > engine.config.CacheTokens {
+		if engine.reservedMemory+need > engine.config.CacheTokens {
 			return
 		}
 		engine.waiting = engine.waiting[1:]
@@ -231,30 +230,31 @@
 
 func (engine *Engine) start(call Call, memory int) {
 	cached := engine.takeCached(call)
-	engine.memory += memory
+	engine.reservedMemory += memory
 	engine.evict()
 	toPrefill := float64(max(call.PromptTokens-cached, 0))
-	engine.prefilled += toPrefill
-	engine.recomputed += float64(max(call.PrefixTokens-cached, 0))
-	engine.batch = append(engine.batch, &runningCall{Call: call, memory: memory, cached: cached, unprefilled: toPrefill})
+	engine.prefilledTokens += toPrefill
+	engine.recomputedTokens += float64(max(call.PrefixTokens-cached, 0))
+	engine.batch = append(engine.batch, &runningCall{Call: call, reservedMemory: memory, cached: cached, unprefilled: toPrefill})
 	engine.emit(Event{Kind: Started, Call: call.ID, CachedTokens: cached, Salt: call.Salt, Prefix: call.Prefix})
 }
 
-// reuse takes a program's prefix out of the cache for a call that repeats it.
+// takeCached removes a program's prefix from the cache for a call that reuses it,
+// and returns how many tokens of the prompt it covers.
 func (engine *Engine) takeCached(call Call) int {
 	prefix := engine.cache.remove(call.key())
 	if prefix == nil {
 		return 0
 	}
 	cached := min(prefix.tokens, call.PrefixTokens, call.PromptTokens)
-	if cached == 0 || prefix.ended {
+	if cached == 0 || prefix.programEnded {
 		engine.waste.charge(prefix, engine.now)
 	}
 	return cached
 }
 
 func (engine *Engine) evict() {
-	for engine.memory+engine.cache.tokens > engine.config.CacheTokens {
+	for engine.reservedMemory+engine.cache.tokens > engine.config.CacheTokens {
 		prefix := engine.cache.removeLeastRecent()
 		if prefix == nil {
 			return
@@ -264,12 +264,13 @@
 	}
 }
 
-// leave takes a call out of the batch and caches some tokens of its program.
+// removeFromBatch removes a call from the batch and caches the given number of its
+// tokens.
 func (engine *Engine) removeFromBatch(at int, tokens int) {
 	call := engine.batch[at]
 	engine.batch = slices.Delete(engine.batch, at, at+1)
-	engine.memory -= call.memory
-	tokens = min(tokens, call.memory)
+	engine.reservedMemory -= call.reservedMemory
+	tokens = min(tokens, call.reservedMemory)
 	key := call.key()
 	if old := engine.cache.get(key); old != nil && old.tokens >= tokens {
 		return
@@ -280,6 +281,6 @@
 	if tokens == 0 || call.Prefix == "" {
 		return
 	}
-	engine.cache.put(&cachedPrefix{prefixKey: key, tokens: tokens, cachedAt: engine.now, ended: call.programEnded, endedAt: engine.now})
+	engine.cache.put(&cachedPrefix{prefixKey: key, tokens: tokens, cachedAt: engine.now, programEnded: call.programEnded, programEndedAt: engine.now})
 	engine.evict()
 }
--- a/bvmodel/engine_test.go
+++ b/bvmodel/engine_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// testConfig prefills one token a millisecond and decodes ten a second.
+// testConfig is an engine that prefills one token a millisecond and decodes ten a
+// second.
 func testConfig() bvmodel.Config {
 	return bvmodel.Config{Slots: 2, CacheTokens: 1000, PrefillTokensPerSecond: 1000, DecodeTokensPerSecond: 10, Slowdown: 1}
 }
@@ -25,7 +26,7 @@
 	return events
 }
 
-func only(events []bvmodel.Event, kind bvmodel.EventKind) []bvmodel.Event {
+func ofKind(events []bvmodel.Event, kind bvmodel.EventKind) []bvmodel.Event {
 	var found []bvmodel.Event
 	for _, event := range events {
 		if event.Kind == kind {
@@ -39,20 +40,20 @@
 	engine := bvmodel.New(testConfig())
 	engine.Submit(100, call(1, "m", "p", 200, 0, 11))
 	events := untilIdle(engine)
-	require.Equal(t, bvclock.Time(300), only(events, bvmodel.FirstToken)[0].At)
-	require.Equal(t, bvclock.Time(1300), only(events, bvmodel.Finished)[0].At)
+	require.Equal(t, bvclock.Time(300), ofKind(events, bvmodel.FirstToken)[0].At)
+	require.Equal(t, bvclock.Time(1300), ofKind(events, bvmodel.Finished)[0].At)
 }
 
 func TestCallsSideBySideDecodeSlower(t *testing.T) {
 	engine := bvmodel.New(testConfig())
 	engine.Submit(0, call(1, "m", "p", 0, 0, 11))
 	engine.Submit(0, call(2, "m", "q", 0, 0, 11))
-	finished := only(untilIdle(engine), bvmodel.Finished)
+	finished := ofKind(untilIdle(engine), bvmodel.Finished)
 	require.Equal(t, bvclock.Time(2000), finished[0].At)
 	require.Equal(t, bvclock.Time(2000), finished[1].At)
 }
 
-func TestCallBeyondTheSlotsWaitsAndThePriorOneStartsFirst(t *testing.T) {
+func TestCallBeyondTheSlotsWaitsAndTheHigherPriorityStartsFirst(t *testing.T) {
 	config := testConfig()
 	config.Slots = 1
 	engine := bvmodel.New(config)
@@ -62,7 +63,7 @@
 	urgent.Priority = 1
 	engine.Submit(0, urgent)
 	require.Equal(t, 2, engine.WaitingCalls())
-	finished := only(untilIdle(engine), bvmodel.Finished)
+	finished := ofKind(untilIdle(engine), bvmodel.Finished)
 	require.Equal(t, bvmodel.CallID(3), finished[1].Call)
 	require.Equal(t, bvmodel.CallID(2), finished[2].Call)
 }
@@ -72,19 +73,19 @@
 	engine.Submit(0, call(1, "m", "p", 200, 0, 11))
 	untilIdle(engine)
 	engine.Submit(5000, call(2, "m", "p", 261, 211, 1))
-	require.Equal(t, 211, only(untilIdle(engine), bvmodel.Finished)[0].CachedTokens)
+	require.Equal(t, 211, ofKind(untilIdle(engine), bvmodel.Finished)[0].CachedTokens)
 	require.Zero(t, engine.Waste(5000).Total())
 }
 
-// Guards against a cache that shows one member what another has asked.
+// Guards against a cache that reveals one member's prompts to another.
 func TestMembersNeverShareAPrefix(t *testing.T) {
 	engine := bvmodel.New(testConfig())
 	engine.Submit(0, call(1, "m", "p", 200, 0, 11))
 	untilIdle(engine)
 	engine.Submit(5000, call(2, "rival", "p", 200, 200, 1))
 	events := untilIdle(engine)
-	require.Zero(t, only(events, bvmodel.Finished)[0].CachedTokens)
-	require.Equal(t, bvclock.Time(5200), only(events, bvmodel.FirstToken)[0].At)
+	require.Zero(t, ofKind(events, bvmodel.Finished)[0].CachedTokens)
+	require.Equal(t, bvclock.Time(5200), ofKind(events, bvmodel.FirstToken)[0].At)
 }
 
 func TestLeastRecentPrefixIsEvictedAndCountedAsWaste(t *testing.T) {
@@ -94,7 +95,7 @@
 	engine.Submit(1000, call(2, "m", "new", 399, 0, 1))
 	untilIdle(engine)
 	engine.Submit(2399, call(3, "m", "third", 399, 0, 1))
-	evicted := only(untilIdle(engine), bvmodel.Evicted)
+	evicted := ofKind(untilIdle(engine), bvmodel.Evicted)
 	require.Len(t, evicted, 1)
 	require.Equal(t, "old", evicted[0].Prefix)
 	require.Equal(t, bvmodel.Waste{Evicted: 400 * 2000}, engine.Waste(5000))
@@ -116,7 +117,7 @@
 	engine.Submit(0, call(1, "m", "p", 500, 0, 100))
 	engine.Submit(0, call(2, "m", "q", 500, 0, 100))
 	require.Equal(t, 1, engine.RunningCalls())
-	require.Len(t, only(untilIdle(engine), bvmodel.Finished), 2)
+	require.Len(t, ofKind(untilIdle(engine), bvmodel.Finished), 2)
 }
 
 func TestCanceledCallFreesItsSlotAndKeepsItsPrompt(t *testing.T) {
@@ -137,11 +138,11 @@
 	require.Equal(t, []bvmodel.CallID{2, 3}, engine.Crash(1050))
 	require.Zero(t, engine.CachedPrefixTokens("m", "p"))
 	_, more := engine.Next()
-	require.True(t, more, "the start of call 2 was not handed out yet")
+	require.True(t, more, "Advance has not returned the start of call 2 yet")
 	require.Len(t, engine.Advance(1050), 1)
 }
 
-func TestProducedCountsTokensThatAreOut(t *testing.T) {
+func TestProducedTokensCountsGeneratedTokens(t *testing.T) {
 	engine := bvmodel.New(testConfig())
 	engine.Submit(0, call(1, "m", "p", 100, 0, 50))
 	engine.Advance(1100)
--- a/bvmodel/prefix.go
+++ b/bvmodel/prefix.go
@@ -4,17 +4,17 @@
 
 type prefixKey struct{ salt, prefix string }
 
-// cachedPrefix is the KV cache of a program with no call running.
+// cachedPrefix is the KV cache of a program that has no running call.
 type cachedPrefix struct {
 	prefixKey
-	tokens   int
-	cachedAt float64
-	ended    bool // its program has ended
-	endedAt  float64
+	tokens         int
+	cachedAt       float64
+	programEnded   bool // the program has ended
+	programEndedAt float64
 }
 
-// prefixCache keeps cached prefixes in the order of their last use, the least
-// recent one in front.
+// prefixCache holds cached prefixes in order of last use, with the least recently
+// used at the front.
 type prefixCache struct {
 	byKey     map[prefixKey]*list.Element
 	byLastUse list.List
@@ -60,14 +60,14 @@
 	*cache = prefixCache{}
 }
 
-// Waste counts engine memory that brought nothing, in tokens of KV cache times
-// milliseconds.
+// Waste counts engine memory whose content was not used again, in tokens of KV
+// cache times milliseconds.
 type Waste struct {
 	Evicted float64 // prefixes evicted or dropped before they were used again
-	Ended   float64 // prefixes held for programs that had ended
+	Ended   float64 // prefixes cached for programs that had ended
 }
 
-// Total is the sum of both kinds.
+// Total returns the sum of both kinds.
 func (waste Waste) Total() float64 {
 	return waste.Evicted + waste.Ended
 }
@@ -77,12 +77,11 @@
 	return Waste{Evicted: waste.Evicted + other.Evicted, Ended: waste.Ended + other.Ended}
 }
 
-// charge adds what a prefix that leaves the cache without being used again has
-// cost.
+// charge adds the cost of a prefix that leaves the cache without being used again.
 func (waste *Waste) charge(prefix *cachedPrefix, now float64) {
 	tokens := float64(prefix.tokens)
-	if prefix.ended {
-		waste.Ended += tokens * (now - prefix.endedAt)
+	if prefix.programEnded {
+		waste.Ended += tokens * (now - prefix.programEndedAt)
 		return
 	}
 	waste.Evicted += tokens * (now - prefix.cachedAt)
