--- a/bvoperator/client.go
+++ b/bvoperator/client.go
@@ -16,19 +16,19 @@
 	"balsamvalve.example/bvverdict"
 )
 
-// sendTries is how often an edit is sent when no answer comes. The
-// Idempotency-Key makes the copies one edit.
-const sendTries = 3
+// maxSends is the number of times that a request is sent when no answer arrives. The
+// Idempotency-Key makes all sends of an edit one edit.
+const maxSends = 3
 
-// Client asks a host for the table and edits it.
+// Client reads and edits the table through a host.
 type Client struct {
-	Address string       // IP and port of the host's operators' HTTP
+	Address string       // IP and port of the host's HTTP server for operators
 	Key     string       // sent as a bearer token
-	HTTP    *http.Client // nil: plain HTTP without a timeout of its own
+	HTTP    *http.Client // nil: http.DefaultClient, which has no timeout
 	TLS     bool         // https instead of http
 }
 
-// Get returns the table as the key's member may see it.
+// Get returns the part of the table that the key's member may see.
 func (client *Client) Get(ctx context.Context) (View, error) {
 	var view View
 	return view, client.call(ctx, http.MethodGet, "/table", nil, &view)
@@ -40,7 +40,7 @@
 	return status, client.call(ctx, http.MethodGet, "/status", nil, &status)
 }
 
-// Set edits cells, all or none.
+// Set applies the cell edits entirely or not at all.
 func (client *Client) Set(ctx context.Context, cells []bvtable.CellEdit) (Outcome, error) {
 	return client.edit(ctx, http.MethodPatch, "/table", bvtable.Edit{Cells: cells})
 }
@@ -64,7 +64,7 @@
 	return proposals, client.call(ctx, http.MethodGet, "/table/proposals", nil, &proposals)
 }
 
-// History returns the newest changes below a version; 0 for the newest of all.
+// History returns the newest changes below a version; 0 for the newest changes overall.
 func (client *Client) History(ctx context.Context, below int64, limit int) ([]bvtable.Change, error) {
 	query := url.Values{}
 	query.Set("below", strconv.FormatInt(below, 10))
@@ -111,17 +111,17 @@
 
 func decode(content []byte, answer any) error {
 	if err := json.Unmarshal(content, answer); err != nil {
-		return fmt.Errorf("operator client: answer: %w", err)
+		return fmt.Errorf("operator client: decode answer: %w", err)
 	}
 	return nil
 }
 
-// send returns the body of the answer. Without an answer it sends again: a
-// host may have accepted the edit and died before it could say so, and the
-// attempt tells the copies apart.
+// send returns the body of the answer. If no answer arrives, it sends the request again. The
+// host may have accepted the edit and crashed before it answered; the attempt identifies the
+// resent edit.
 func (client *Client) send(ctx context.Context, method, path string, body []byte, attempt string) ([]byte, error) {
 	var err error
-	for try := range sendTries {
+	for try := range maxSends {
 		var response *http.Response
 		if response, err = client.sendOnce(ctx, method, path, body, attempt); err != nil {
 			continue
@@ -133,14 +133,14 @@
 			continue
 		}
 		if response.StatusCode != http.StatusOK {
-			return nil, failureOf(response.StatusCode, content, try > 0)
+			return nil, decodeFailure(response.StatusCode, content, try > 0)
 		}
 		return content, nil
 	}
 	if attempt == "" {
 		return nil, fmt.Errorf("operator client: %w", err)
 	}
-	return nil, fmt.Errorf("operator client: no answer, the edit may have been accepted as %s: %w", attempt, err)
+	return nil, fmt.Errorf("operator client: no answer, the edit may have been accepted as attempt %s: %w", attempt, err)
 }
 
 func (client *Client) sendOnce(ctx context.Context, method, path string, body []byte, attempt string) (*http.Response, error) {
@@ -162,10 +162,10 @@
 	return client.HTTP.Do(request)
 }
 
-// failureOf reads an error's body. After a sending without an answer, a
-// refusal by a host that couldn't look up the attempt speaks for the last
-// sending only, and the operator must not take it for the edit's end.
-func failureOf(status int, content []byte, unanswered bool) error {
+// decodeFailure decodes an error's body. After an unanswered send, a refusal by a host that
+// couldn't look up the attempt applies to the last send only: the edit may have been accepted
+// before, so the verdict becomes MayHaveRun.
+func decodeFailure(status int, content []byte, unanswered bool) error {
 	var body failureBody
 	if err := json.Unmarshal(content, &body); err != nil || body.Error == nil {
 		return fmt.Errorf("operator client: status %d: %s", status, content)
@@ -173,7 +173,7 @@
 	code := body.Error.Code
 	if unanswered && (code == bvverdict.PlatformUnavailable.String() || code == bvverdict.Overloaded.String()) {
 		body.Error.Verdict = bvverdict.MayHaveRun.String()
-		body.Error.Reason += "; an earlier sending got no answer, see the table's history"
+		body.Error.Reason += "; an earlier send got no answer, see the table's history"
 	}
 	return body.Error
 }
--- a/bvoperator/error.go
+++ b/bvoperator/error.go
@@ -23,7 +23,7 @@
 	Conflict   *bvtable.CellConflictError `json:"conflict,omitempty"`
 }
 
-// Error implements error, with a line for each bad cell.
+// Error implements error, with a line for each invalid cell.
 func (failure *Failure) Error() string {
 	lines := []string{fmt.Sprintf("%s (%s): %s", failure.Code, failure.Verdict, failure.Reason)}
 	for _, problem := range failure.Problems {
@@ -39,7 +39,7 @@
 	Error *Failure `json:"error"`
 }
 
-// WriteError answers with the JSON form and the status code of an error.
+// WriteError writes an error as JSON with its status code.
 func WriteError(writer http.ResponseWriter, err error) {
 	verdict := bvverdict.From(err)
 	failure := &Failure{
@@ -60,11 +60,11 @@
 		writer.Header().Set("Retry-After", strconv.FormatInt(verdict.RetryAfter().Seconds(), 10))
 	}
 	writer.Header().Set("Content-Type", jsonType)
-	writer.WriteHeader(status(verdict.Code()))
-	_ = json.NewEncoder(writer).Encode(failureBody{failure}) // the client has gone
+	writer.WriteHeader(statusCode(verdict.Code()))
+	_ = json.NewEncoder(writer).Encode(failureBody{failure}) // fails if the client disconnected
 }
 
-func status(code bvverdict.Code) int {
+func statusCode(code bvverdict.Code) int {
 	switch code {
 	case bvverdict.BadRequest:
 		return http.StatusBadRequest
--- a/bvoperator/handler.go
+++ b/bvoperator/handler.go
@@ -1,9 +1,9 @@
-// Package bvoperator serves the operators' table over HTTP and holds the
-// client that the command line uses. It only translates: bvtable decides.
+// Package bvoperator serves the operators' table over HTTP and contains the client that the
+// command line uses. It only translates between HTTP and bvtable, which has all rules.
 //
 //	GET   /table                         rows that the key's member may see
 //	PATCH /table                         edit cells, all or none
-//	GET   /table/csv                     the same rows for a spreadsheet
+//	GET   /table/csv                     the same rows as CSV
 //	PUT   /table/csv[?remove=true]       edit all cells that differ from the export
 //	GET   /table/history[?below=&limit=] changes, newest first
 //	GET   /table/proposals               changes of shares and their consents
@@ -11,8 +11,8 @@
 //	POST  /table/proposals/{id}/accept   consent to a proposal
 //	GET   /status                        hosts, endpoints and members
 //
-// Each request bears "Authorization: Bearer <key>". An edit may bear an
-// Idempotency-Key, under which it may be sent again after a lost answer.
+// Each request has the header "Authorization: Bearer <key>". An edit may have an
+// Idempotency-Key, with which it can be sent again after a lost answer.
 //
 // # Usage
 //
@@ -34,19 +34,19 @@
 )
 
 const (
-	bodyLimit     = 8 << 20 // bytes; 10,000 rows take about 1 MB
-	historyLimit  = 50
-	historyMost   = 1000
-	attemptHeader = "Idempotency-Key"
-	csvType       = "text/csv; charset=utf-8"
-	jsonType      = "application/json"
+	maxBodyBytes        = 8 << 20 // bytes; 10,000 rows take about 1 MB
+	defaultHistoryLimit = 50
+	maxHistoryLimit     = 1000
+	attemptHeader       = "Idempotency-Key"
+	csvType             = "text/csv; charset=utf-8"
+	jsonType            = "application/json"
 )
 
 // Handler serves the table and the status. Editor and Ring must be set.
 type Handler struct {
 	Editor *bvtable.Editor
-	Ring   func() *bvkey.Ring // asked at each request, so that keys can be replaced
-	// Status returns what a member may see; nil for a host without status.
+	Ring   func() *bvkey.Ring // called for each request, so that keys can be replaced
+	// Status returns the status that a member may see; nil: GET /status is not served.
 	Status func(ctx context.Context, member string) bvstatus.Status
 }
 
@@ -67,9 +67,9 @@
 
 // View is the body of GET /table.
 type View struct {
-	Member    string        `json:"member"` // of the key; its rows are whole, of others only the share is shown
+	Member    string        `json:"member"` // member of the key; other members' rows have the share only
 	Version   int64         `json:"version"`
-	Confirmed bool          `json:"confirmed"` // false: the platform is out; what this host has in force
+	Confirmed bool          `json:"confirmed"` // false: the platform is unavailable, and the rows are those in force on this host
 	Rows      []bvtable.Row `json:"rows"`
 }
 
@@ -81,11 +81,11 @@
 
 type actorFunc func(writer http.ResponseWriter, request *http.Request, actor bvtable.Actor) error
 
-// authorized finds the key's holder, and writes the error that the route
-// returns.
+// authorized returns a handler that authenticates the request's key, calls the route with its
+// actor, and writes the error that the route returns.
 func (handler *Handler) authorized(route actorFunc) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
-		request.Body = http.MaxBytesReader(writer, request.Body, bodyLimit)
+		request.Body = http.MaxBytesReader(writer, request.Body, maxBodyBytes)
 		actor, err := handler.actor(request)
 		if err == nil {
 			err = route(writer, request, actor)
@@ -96,9 +96,8 @@
 	}
 }
 
-// AdminOnly lets only requests with an admin key through. It guards figures
-// that are totals over all members: with two of them, an operator could
-// subtract its own and see its rival's load.
+// AdminOnly passes on only requests with an admin key. It protects totals over all members:
+// with two members, an operator could subtract its own figures and see the other's load.
 func (handler *Handler) AdminOnly(next http.Handler) http.HandlerFunc {
 	return handler.authorized(func(writer http.ResponseWriter, request *http.Request, actor bvtable.Actor) error {
 		if actor.Role != bvkey.Admin {
@@ -112,7 +111,7 @@
 func (handler *Handler) actor(request *http.Request) (bvtable.Actor, error) {
 	key, found := strings.CutPrefix(request.Header.Get("Authorization"), "Bearer ")
 	if !found {
-		return bvtable.Actor{}, bvverdict.Refuse(bvverdict.Unauthorized, "the request bears no key")
+		return bvtable.Actor{}, bvverdict.Refuse(bvverdict.Unauthorized, "the request has no key")
 	}
 	member, role, found := handler.Ring().Find(key)
 	if !found {
@@ -136,8 +135,8 @@
 	return writeJSON(writer, View{Member: actor.Member, Version: table.Version(), Confirmed: confirmed, Rows: table.View(actor.Member)})
 }
 
-// table returns the newest table, or else what this host has in force: in an
-// outage operators need to see that more than ever.
+// table returns the newest table, or in an outage of the store the table that is in force on
+// this host, so that operators can still see it.
 func (handler *Handler) table(request *http.Request) (table *bvtable.Table, confirmed bool, err error) {
 	table, err = handler.Editor.Get(request.Context())
 	if err == nil {
@@ -187,11 +186,11 @@
 	if err != nil {
 		return err
 	}
-	limit, err := queryNumber(request, "limit", historyLimit)
+	limit, err := queryNumber(request, "limit", defaultHistoryLimit)
 	if err != nil {
 		return err
 	}
-	changes, err := handler.Editor.History(request.Context(), below, int(min(limit, historyMost)))
+	changes, err := handler.Editor.History(request.Context(), below, int(min(limit, maxHistoryLimit)))
 	if err != nil {
 		return err
 	}
--- a/bvoperator/handler_test.go
+++ b/bvoperator/handler_test.go
@@ -21,47 +21,47 @@
 
 const sheet = "version,member,class,share,budget\n0,piran,,60,100\n,piran,booking,,40\n,brindley,,40,70\n"
 
-// outStore is a table service that can be out.
-type outStore struct {
+// failingStore is a table service whose reads can be made to fail.
+type failingStore struct {
 	bvplatform.Memory
-	out atomic.Bool
+	unavailable atomic.Bool
 }
 
-func (store *outStore) Read(ctx context.Context, names ...string) ([]bvplatform.Row, error) {
-	if store.out.Load() {
+func (store *failingStore) Read(ctx context.Context, names ...string) ([]bvplatform.Row, error) {
+	if store.unavailable.Load() {
 		return nil, bvplatform.ErrUnavailable
 	}
 	return store.Memory.Read(ctx, names...)
 }
 
-type bench struct {
-	store  *outStore
+type fixture struct {
+	store  *failingStore
 	mux    *http.ServeMux
 	server *httptest.Server
 }
 
-func newBench(t *testing.T) *bench {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	ring, err := bvkey.Read(strings.NewReader(keys))
 	require.NoError(t, err)
-	bench := &bench{store: &outStore{}, mux: http.NewServeMux()}
+	fixture := &fixture{store: &failingStore{}, mux: http.NewServeMux()}
 	handler := &Handler{
 		Ring: func() *bvkey.Ring { return ring },
 		Editor: &bvtable.Editor{
-			Store:    bench.store,
-			Follower: &bvtable.Follower{Store: bench.store, Clock: &bvclock.Manual{}},
+			Store:    fixture.store,
+			Follower: &bvtable.Follower{Store: fixture.store, Clock: &bvclock.Manual{}},
 		},
 	}
-	handler.Register(bench.mux)
-	bench.server = httptest.NewServer(bench.mux)
-	t.Cleanup(bench.server.Close)
-	_, err = bench.client("makers-admin-key").Import(t.Context(), []byte(sheet), false)
+	handler.Register(fixture.mux)
+	fixture.server = httptest.NewServer(fixture.mux)
+	t.Cleanup(fixture.server.Close)
+	_, err = fixture.client("makers-admin-key").Import(t.Context(), []byte(sheet), false)
 	require.NoError(t, err)
-	return bench
+	return fixture
 }
 
-func (bench *bench) client(key string) *Client {
-	return &Client{Address: strings.TrimPrefix(bench.server.URL, "http://"), Key: key}
+func (fixture *fixture) client(key string) *Client {
+	return &Client{Address: strings.TrimPrefix(fixture.server.URL, "http://"), Key: key}
 }
 
 func budget(text string) []bvtable.CellEdit {
@@ -76,9 +76,9 @@
 	return failure
 }
 
-func (bench *bench) status(t *testing.T, method, path, key, body string) int {
+func (fixture *fixture) status(t *testing.T, method, path, key, body string) int {
 	t.Helper()
-	request, err := http.NewRequest(method, bench.server.URL+path, strings.NewReader(body))
+	request, err := http.NewRequest(method, fixture.server.URL+path, strings.NewReader(body))
 	require.NoError(t, err)
 	request.Header.Set("Authorization", "Bearer "+key)
 	response, err := http.DefaultClient.Do(request)
@@ -89,41 +89,41 @@
 }
 
 func TestUnknownKeyIsUnauthorized(t *testing.T) {
-	require.Equal(t, http.StatusUnauthorized, newBench(t).status(t, "GET", "/table", "guess", ""))
+	require.Equal(t, http.StatusUnauthorized, newFixture(t).status(t, "GET", "/table", "guess", ""))
 }
 
 func TestBodyThatIsNoEditIsABadRequest(t *testing.T) {
-	require.Equal(t, http.StatusBadRequest, newBench(t).status(t, "PATCH", "/table", "piran-operator-key", `{"cels":[]}`))
+	require.Equal(t, http.StatusBadRequest, newFixture(t).status(t, "PATCH", "/table", "piran-operator-key", `{"cels":[]}`))
 }
 
 func TestInvalidEditNamesRowAndCell(t *testing.T) {
-	bench := newBench(t)
-	_, err := bench.client("piran-operator-key").Set(t.Context(), budget("-1"))
+	fixture := newFixture(t)
+	_, err := fixture.client("piran-operator-key").Set(t.Context(), budget("-1"))
 	failure := requireFailure(t, "invalid", err)
 	require.Equal(t, "not run", failure.Verdict)
 	require.Equal(t, []bvtable.Problem{{Row: "piran/booking", Cell: "budget", Reason: "-1 is not zero or more"}}, failure.Problems)
 }
 
-func TestConflictTellsWhatTheCellHolds(t *testing.T) {
-	bench := newBench(t)
+func TestConflictReportsWhatTheCellHolds(t *testing.T) {
+	fixture := newFixture(t)
 	cells := budget("90")
 	old := "39"
 	cells[0].Old = &old
-	_, err := bench.client("piran-operator-key").Set(t.Context(), cells)
+	_, err := fixture.client("piran-operator-key").Set(t.Context(), cells)
 	require.Equal(t, "40", requireFailure(t, "conflict", err).Conflict.Found)
 }
 
 func TestRivalsRowIsForbidden(t *testing.T) {
-	bench := newBench(t)
-	_, err := bench.client("brindley-operator-key").Set(t.Context(), budget("1"))
+	fixture := newFixture(t)
+	_, err := fixture.client("brindley-operator-key").Set(t.Context(), budget("1"))
 	requireFailure(t, "forbidden", err)
 }
 
-// Guards against an operator who can't see what is in force in an outage.
+// In an outage an operator must still see the table in force.
 func TestOutageShowsTheTableInForceAndRefusesEdits(t *testing.T) {
-	bench := newBench(t)
-	bench.store.out.Store(true)
-	client := bench.client("piran-operator-key")
+	fixture := newFixture(t)
+	fixture.store.unavailable.Store(true)
+	client := fixture.client("piran-operator-key")
 	view, err := client.Get(t.Context())
 	require.NoError(t, err)
 	require.False(t, view.Confirmed)
@@ -132,17 +132,17 @@
 	require.Equal(t, "not run", requireFailure(t, "platform_unavailable", err).Verdict)
 }
 
-// Guards against an edit that is run twice and sets back a colleague's.
+// Guards against applying an edit twice, which would revert another operator's edit.
 func TestEditWhoseAnswerIsLostIsAcceptedOnce(t *testing.T) {
-	bench := newBench(t)
+	fixture := newFixture(t)
 	lost := false
 	cut := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		if lost {
-			bench.mux.ServeHTTP(writer, request)
+			fixture.mux.ServeHTTP(writer, request)
 			return
 		}
 		lost = true
-		bench.mux.ServeHTTP(httptest.NewRecorder(), request)
+		fixture.mux.ServeHTTP(httptest.NewRecorder(), request)
 		panic(http.ErrAbortHandler)
 	}))
 	t.Cleanup(cut.Close)
@@ -156,16 +156,16 @@
 	require.EqualValues(t, 2, history[0].Version)
 }
 
-// Guards against "not run" for an edit that may be in force.
-func TestRefusalAfterALostAnswerSaysThatTheEditMayHaveRun(t *testing.T) {
-	bench := newBench(t)
+// Guards against reporting "not run" for an edit that may be in force.
+func TestRefusalAfterALostAnswerReportsThatTheEditMayHaveRun(t *testing.T) {
+	fixture := newFixture(t)
 	cut := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		if bench.store.out.Load() {
-			bench.mux.ServeHTTP(writer, request)
+		if fixture.store.unavailable.Load() {
+			fixture.mux.ServeHTTP(writer, request)
 			return
 		}
-		bench.mux.ServeHTTP(httptest.NewRecorder(), request)
-		bench.store.out.Store(true)
+		fixture.mux.ServeHTTP(httptest.NewRecorder(), request)
+		fixture.store.unavailable.Store(true)
 		panic(http.ErrAbortHandler)
 	}))
 	t.Cleanup(cut.Close)
@@ -175,11 +175,11 @@
 }
 
 func TestProposalOverHTTP(t *testing.T) {
-	bench := newBench(t)
+	fixture := newFixture(t)
 	shares := []bvtable.MemberShare{{Member: "piran", Share: 50}, {Member: "brindley", Share: 50}}
-	outcome, err := bench.client("piran-operator-key").Propose(t.Context(), shares)
+	outcome, err := fixture.client("piran-operator-key").Propose(t.Context(), shares)
 	require.NoError(t, err)
-	outcome, err = bench.client("brindley-operator-key").Accept(t.Context(), outcome.Proposal.ID)
+	outcome, err = fixture.client("brindley-operator-key").Accept(t.Context(), outcome.Proposal.ID)
 	require.NoError(t, err)
 	require.Equal(t, bvtable.Accepted, outcome.Proposal.State)
 }
--- a/bvpeer/peer.go
+++ b/bvpeer/peer.go
@@ -1,5 +1,5 @@
-// Package bvpeer is the protocol between daemons: the generated gRPC code, the
-// mapping of errors, and the connections to the other hosts.
+// Package bvpeer implements the protocol between daemons: the generated gRPC code, the
+// encoding of errors, and the connections to the other hosts.
 //
 // # Usage
 //
@@ -26,8 +26,8 @@
 	}
 }
 
-// DecodeFailure decodes an error from the wire. A verdict this version does not
-// know reads as one that promises nothing.
+// DecodeFailure decodes an error from the wire. A verdict that is unknown to this version
+// becomes MayHaveRun.
 func DecodeFailure(failure *Failure) *bvverdict.Error {
 	verdict := bvverdict.Verdict(failure.GetVerdict())
 	if verdict != bvverdict.NotRun && verdict != bvverdict.Ran {
--- a/bvpeer/pool.go
+++ b/bvpeer/pool.go
@@ -17,27 +17,26 @@
 	"balsamvalve.example/bvtrace"
 )
 
-// How a silent connection is found. Something between two hosts can lose
-// track of a connection: both ends think it open and nothing arrives. A ping
-// without an answer ends it, and the next call dials anew.
+// Detection of dead connections. A network device between two hosts can drop the state of a
+// connection, so that both ends consider it open but nothing arrives. An unanswered ping
+// closes the connection, and the next call dials a new one.
 const (
 	pingInterval = 2 * time.Second
 	pingTimeout  = 2 * time.Second
 )
 
-// How soon a host that came back is tried again.
+// Delays before a failed connection to a host is dialed again, and the limit of a dial.
 const (
-	firstRedial = 50 * time.Millisecond
-	lastRedial  = time.Second
-	dialTimeout = time.Second
+	minRedialDelay = 50 * time.Millisecond
+	maxRedialDelay = time.Second
+	dialTimeout    = time.Second
 )
 
-// maxMessage bounds a message between hosts: a history of 320,000 tokens is
-// well below it.
-const maxMessage = 64 << 20
+// maxMessageBytes bounds a message between hosts; a history of 320,000 tokens is well below
+// it.
+const maxMessageBytes = 64 << 20
 
-// Pool keeps one connection per peer. The zero value is ready to use, without
-// TLS.
+// Pool holds one connection per peer. The zero value is ready to use, without TLS.
 type Pool struct {
 	mutex       sync.Mutex
 	connections map[string]*grpc.ClientConn
@@ -45,13 +44,13 @@
 	tracers     trace.TracerProvider
 }
 
-// NewPool returns a pool that dials with the given credentials and traces by
-// the given provider. Both may be nil.
+// NewPool returns a pool that dials with the given credentials and traces with the given
+// provider. Both may be nil.
 func NewPool(transport credentials.TransportCredentials, tracers trace.TracerProvider) *Pool {
 	return &Pool{credentials: transport, tracers: tracers}
 }
 
-// Peer returns a client of the host that listens at address, an IP and port.
+// Peer returns a client for the host that listens at address, an IP and port.
 func (pool *Pool) Peer(address string) (PeerClient, error) {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
@@ -69,7 +68,7 @@
 	return NewPeerClient(connection), nil
 }
 
-// Retain closes the connections to all addresses but these.
+// Retain closes the connections to all addresses except the given ones.
 func (pool *Pool) Retain(addresses map[string]bool) {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
@@ -94,11 +93,11 @@
 	return []grpc.DialOption{
 		grpc.WithTransportCredentials(transport),
 		grpc.WithStatsHandler(otelgrpc.NewClientHandler(traceOptions(pool.tracers)...)),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessage), grpc.MaxCallSendMsgSize(maxMessage)),
-		// No retry by a service configuration. gRPC still sends a call again
-		// whose stream the server refused unprocessed, or of which nothing was
-		// written. That is harmless even for an unrepeatable request: an owner
-		// that does see a call twice takes the second for a repeat.
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes), grpc.MaxCallSendMsgSize(maxMessageBytes)),
+		// No retries by a service configuration. gRPC still resends a call if the server
+		// refused its stream unprocessed or if nothing of it was written. That is harmless
+		// even for an unrepeatable request: an owner that receives a call twice treats the
+		// second as a repeat.
 		grpc.WithDisableRetry(),
 		grpc.WithKeepaliveParams(keepalive.ClientParameters{
 			Time:                pingInterval,
@@ -106,13 +105,13 @@
 			PermitWithoutStream: true,
 		}),
 		grpc.WithConnectParams(grpc.ConnectParams{
-			Backoff:           backoff.Config{BaseDelay: firstRedial, Multiplier: 2, MaxDelay: lastRedial},
+			Backoff:           backoff.Config{BaseDelay: minRedialDelay, Multiplier: 2, MaxDelay: maxRedialDelay},
 			MinConnectTimeout: dialTimeout,
 		}),
 	}
 }
 
-// ServerOptions returns what a daemon's gRPC server needs to match Pool.
+// ServerOptions returns the options of a daemon's gRPC server that match those of Pool.
 func ServerOptions(transport credentials.TransportCredentials, tracers trace.TracerProvider) []grpc.ServerOption {
 	if transport == nil {
 		transport = insecure.NewCredentials()
@@ -120,8 +119,8 @@
 	return []grpc.ServerOption{
 		grpc.Creds(transport),
 		grpc.StatsHandler(otelgrpc.NewServerHandler(traceOptions(tracers)...)),
-		grpc.MaxRecvMsgSize(maxMessage),
-		grpc.MaxSendMsgSize(maxMessage),
+		grpc.MaxRecvMsgSize(maxMessageBytes),
+		grpc.MaxSendMsgSize(maxMessageBytes),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{
 			MinTime:             pingInterval / 2,
 			PermitWithoutStream: true,
--- a/bvtable/bench_test.go
+++ b/bvtable/bench_test.go
@@ -11,7 +11,7 @@
 	"balsamvalve.example/bvplatform"
 )
 
-// largeTable has a member's own row and classes, as many rows as told.
+// largeTable returns a table with a member's own row and classes, rows in total.
 func largeTable(rows int) *Table {
 	list := []Row{{Member: "piran", Share: 100}}
 	for i := 1; i < rows; i++ {
@@ -29,7 +29,7 @@
 	}
 }
 
-// BenchmarkApply is a follower's cost of one change.
+// BenchmarkApply measures a follower's cost of one change.
 func BenchmarkApply(b *testing.B) {
 	withRows(b, func(b *testing.B, rows int) {
 		state := &State{}
@@ -45,7 +45,7 @@
 	})
 }
 
-// BenchmarkMemory is what a follower keeps.
+// BenchmarkMemory measures the heap memory of a follower's table.
 func BenchmarkMemory(b *testing.B) {
 	withRows(b, func(b *testing.B, rows int) {
 		var before, after runtime.MemStats
@@ -61,7 +61,8 @@
 	})
 }
 
-// BenchmarkSnapshot is what a host that starts in an outage gets from a peer.
+// BenchmarkSnapshot measures the snapshot that a host fetches from a peer when it starts in an
+// outage.
 func BenchmarkSnapshot(b *testing.B) {
 	withRows(b, func(b *testing.B, rows int) {
 		table := largeTable(rows)
@@ -80,7 +81,7 @@
 	})
 }
 
-// BenchmarkRow is what each call pays to learn its limits.
+// BenchmarkRow measures the lookup of a call's limits.
 func BenchmarkRow(b *testing.B) {
 	withRows(b, func(b *testing.B, rows int) {
 		table := largeTable(rows)
@@ -92,8 +93,8 @@
 	})
 }
 
-// BenchmarkSet is an edit on the host that serves it, against a store without
-// latency, and the platform calls that it takes.
+// BenchmarkSet measures an edit on the host that serves it, against a store without latency,
+// and the number of platform calls per edit.
 func BenchmarkSet(b *testing.B) {
 	withRows(b, func(b *testing.B, rows int) {
 		memory := &bvplatform.Memory{}
@@ -114,7 +115,7 @@
 	})
 }
 
-// at returns the table under another version.
+// at returns the table with another version number.
 func (table *Table) at(version int64) *Table {
 	return &Table{version: version, rows: table.rows}
 }
--- a/bvtable/change.go
+++ b/bvtable/change.go
@@ -6,13 +6,13 @@
 	"balsamvalve.example/bvkey"
 )
 
-// Actor is who edits the table.
+// Actor is the key holder that edits the table.
 type Actor struct {
 	Member string     `json:"member"`
 	Role   bvkey.Role `json:"role"`
 }
 
-// Cell is a cell's change from one text to another.
+// Cell is the change of one cell from its old to its new text.
 type Cell struct {
 	Member string `json:"member"`
 	Class  string `json:"class,omitempty"`
@@ -26,14 +26,13 @@
 	return RowName{Member: cell.Member, Class: cell.Class}
 }
 
-// Change is one version of the table: what was changed, by whom and when. It
-// is written once, in the transaction that makes the version, and never
-// changed.
+// Change is the record of one version of the table: the changed cells, the actor and the
+// time. It is written in the transaction that creates the version and is immutable.
 type Change struct {
 	Version  int64     `json:"version"`
 	Actor    Actor     `json:"actor"`
-	At       time.Time `json:"at"`      // of the host's calendar; to read, never to decide
-	Attempt  string    `json:"attempt"` // of the operator's edit
+	At       time.Time `json:"at"`      // wall clock of the host; for display only
+	Attempt  string    `json:"attempt"` // id of the operator's edit
 	Proposal string    `json:"proposal,omitempty"`
 	Note     string    `json:"note,omitempty"`
 	Cells    []Cell    `json:"cells,omitempty"`
--- a/bvtable/column.go
+++ b/bvtable/column.go
@@ -15,7 +15,7 @@
 // Column names a column of the table.
 type Column int
 
-// The columns. Presence isn't printed: its cell says whether the row is there.
+// The columns. Presence is not printed; its cell states whether the row exists.
 const (
 	Presence    Column = iota // row
 	Share                     // share
@@ -35,7 +35,7 @@
 	Absent  = "absent"
 )
 
-// Columns returns the printed columns in their order.
+// Columns returns the printed columns in display order.
 func Columns() []Column {
 	columns := make([]Column, 0, Services)
 	for column := Share; column <= Services; column++ {
@@ -44,7 +44,7 @@
 	return columns
 }
 
-// ParseColumn returns the column of the given name.
+// ParseColumn returns the column with the given name.
 func ParseColumn(name string) (Column, error) {
 	for column := Presence; column <= Services; column++ {
 		if column.String() == name {
@@ -65,7 +65,7 @@
 	return err
 }
 
-// Cell returns the text of a cell; equal values have equal texts.
+// Cell returns the canonical text of a cell: equal values have equal texts.
 func (row *Row) Cell(column Column) string {
 	switch column {
 	case Presence:
--- a/bvtable/csv.go
+++ b/bvtable/csv.go
@@ -13,20 +13,21 @@
 	"balsamvalve.example/bvverdict"
 )
 
-// Columns of the CSV form before those of the table. Each line carries the
-// version that it was exported at: an import changes only the cells that the
-// operator has touched since, and so can't revert what others changed.
+// Columns that precede the table's columns in the CSV. Each line has the version at which
+// it was exported, so that an import changes only the cells that the operator edited after
+// the export and doesn't revert other operators' changes.
 const (
 	csvVersion = "version"
 	csvMember  = "member"
 	csvClass   = "class"
 )
 
-// formulaStarts are what makes a spreadsheet take a text for a formula. No
-// name or value of the table begins so, but for a negative priority.
-const formulaStarts = "=+@\t\r"
+// formulaPrefixes are the characters that make a spreadsheet treat a cell as a formula. A
+// minus sign is not among them, because a negative priority begins with it. No other name
+// or value of the table begins with such a character.
+const formulaPrefixes = "=+@\t\r"
 
-// Export writes the rows that a member's operators may see as CSV.
+// Export writes the rows that are visible to a member's operators as CSV.
 func Export(writer io.Writer, table *Table, member string) error {
 	output := csv.NewWriter(writer)
 	header := []string{csvVersion, csvMember, csvClass}
@@ -53,8 +54,8 @@
 	return output.Error()
 }
 
-// Import edits all cells in which the CSV differs from what was exported. Own
-// classes that the CSV lacks are removed if remove is set, else kept.
+// Import edits all cells in which the CSV differs from its export. The member's own classes
+// that are missing from the CSV are removed if remove is set.
 func (editor *Editor) Import(ctx context.Context, actor Actor, attempt string, source io.Reader, remove bool) (Report, error) {
 	sheet, err := parseSheet(source)
 	if err != nil {
@@ -69,13 +70,12 @@
 		return Report{}, err
 	}
 	if remove {
-		edits = append(edits, sheet.removals(actor, base)...)
+		edits = append(edits, sheet.missingRowRemovals(actor, base)...)
 	}
 	return editor.Set(ctx, actor, Edit{Attempt: attempt, Cells: edits})
 }
 
-// tableAt returns the table of an earlier version, by undoing the changes
-// since.
+// tableAt reconstructs the table of an earlier version by undoing the later changes.
 func (editor *Editor) tableAt(ctx context.Context, version int64) (*Table, error) {
 	table, err := editor.Get(ctx)
 	if err != nil {
@@ -86,21 +86,21 @@
 	}
 	changes, err := storage{editor.Store}.changes(ctx, version+1, table.version)
 	if err != nil {
-		return nil, unavailable(err)
+		return nil, unavailableError(err)
 	}
 	if int64(len(changes)) != table.version-version {
 		return nil, bvverdict.Refuse(bvverdict.Conflict, "version %d is too old; export again", version)
 	}
 	for _, change := range slices.Backward(changes) {
-		if table, err = table.With(change.undo()); err != nil {
-			return nil, unavailable(err)
+		if table, err = table.With(change.inverse()); err != nil {
+			return nil, unavailableError(err)
 		}
 	}
 	return table, nil
 }
 
-// undo returns the change that leads back.
-func (change Change) undo() Change {
+// inverse returns the change that undoes this one.
+func (change Change) inverse() Change {
 	back := Change{Version: change.Version - 1}
 	for _, cell := range slices.Backward(change.Cells) {
 		cell.Old, cell.New = cell.New, cell.Old
@@ -124,42 +124,42 @@
 func parseSheet(source io.Reader) (*sheet, error) {
 	records, err := csv.NewReader(source).ReadAll()
 	if err != nil {
-		return nil, badSheet("%v", err)
+		return nil, sheetError("%v", err)
 	}
 	if len(records) == 0 {
-		return nil, badSheet("it is empty")
+		return nil, sheetError("it is empty")
 	}
 	header := slices.Clone(records[0])
 	header[0] = strings.TrimPrefix(header[0], "\ufeff") // spreadsheets put a byte order mark first
 	if len(header) < 3 || header[0] != csvVersion || header[1] != csvMember || header[2] != csvClass {
-		return nil, badSheet("the first columns must be %s, %s, %s", csvVersion, csvMember, csvClass)
+		return nil, sheetError("the first columns must be %s, %s, %s", csvVersion, csvMember, csvClass)
 	}
 	sheet := &sheet{version: -1}
 	for _, name := range header[3:] {
 		column, err := ParseColumn(name)
 		if err != nil || column == Presence {
-			return nil, badSheet("there is no column %q", name)
+			return nil, sheetError("there is no column %q", name)
 		}
 		sheet.columns = append(sheet.columns, column)
 	}
 	for i, record := range records[1:] {
-		if err := sheet.add(record); err != nil {
-			return nil, badSheet("line %d: %v", i+2, err)
+		if err := sheet.addRecord(record); err != nil {
+			return nil, sheetError("line %d: %v", i+2, err)
 		}
 	}
 	if sheet.version < 0 {
-		return nil, badSheet("no line has a version")
+		return nil, sheetError("no line has a version")
 	}
 	return sheet, nil
 }
 
-func badSheet(reason string, args ...any) error {
+func sheetError(reason string, args ...any) error {
 	return bvverdict.Refuse(bvverdict.BadRequest, "CSV: %s", fmt.Sprintf(reason, args...))
 }
 
-func (sheet *sheet) add(record []string) error {
+func (sheet *sheet) addRecord(record []string) error {
 	for _, text := range record {
-		if text != "" && strings.ContainsRune(formulaStarts, rune(text[0])) {
+		if text != "" && strings.ContainsRune(formulaPrefixes, rune(text[0])) {
 			return fmt.Errorf("%q looks like a formula", text)
 		}
 	}
@@ -174,19 +174,19 @@
 		sheet.version = version
 	}
 	line := sheetLine{name: RowName{Member: strings.TrimSpace(record[1]), Class: strings.TrimSpace(record[2])}, texts: record[3:]}
-	if sheet.has(line.name) {
+	if sheet.hasRow(line.name) {
 		return fmt.Errorf("row %s stands twice", line.name)
 	}
 	sheet.lines = append(sheet.lines, line)
 	return nil
 }
 
-func (sheet *sheet) has(name RowName) bool {
+func (sheet *sheet) hasRow(name RowName) bool {
 	return slices.ContainsFunc(sheet.lines, func(line sheetLine) bool { return line.name == name })
 }
 
-// edits returns an edit for each cell that differs from what the actor saw in
-// the base, which for rivals' rows is less than what they hold.
+// edits returns an edit for each cell that differs from the base as the actor sees it. An
+// operator's export leaves out other members' hidden cells.
 func (sheet *sheet) edits(actor Actor, base *Table) ([]CellEdit, error) {
 	seen := base
 	if actor.Role != bvkey.Admin {
@@ -195,22 +195,23 @@
 	var edits []CellEdit
 	for _, line := range sheet.lines {
 		for i, column := range sheet.columns {
-			text, err := canonical(column, line.texts[i])
+			text, err := canonicalText(column, line.texts[i])
 			if err != nil {
-				return nil, invalidCell(line.name, column, "%v", err)
+				return nil, invalidCellError(line.name, column, "%v", err)
 			}
 			old := seen.CellText(line.name, column)
 			if text != old {
 				edits = append(edits, CellEdit{Member: line.name.Member, Class: line.name.Class, Column: column, Old: &old, New: text})
 			}
 		}
-		edits = append(edits, line.addition(seen)...)
+		edits = append(edits, line.missingRowAddition(seen)...)
 	}
 	return edits, nil
 }
 
-// addition makes a row that the base lacks, even if its cells are all zero.
-func (line sheetLine) addition(base *Table) []CellEdit {
+// missingRowAddition returns the edit that creates a row missing from the base, even if all
+// its cells are zero.
+func (line sheetLine) missingRowAddition(base *Table) []CellEdit {
 	if _, found := base.ExactRow(line.name); found {
 		return nil
 	}
@@ -218,10 +219,11 @@
 	return []CellEdit{{Member: line.name.Member, Class: line.name.Class, Column: Presence, Old: &old, New: Present}}
 }
 
-func (sheet *sheet) removals(actor Actor, base *Table) []CellEdit {
+// missingRowRemovals returns edits that remove the actor's classes missing from the sheet.
+func (sheet *sheet) missingRowRemovals(actor Actor, base *Table) []CellEdit {
 	var edits []CellEdit
 	for _, row := range base.rows {
-		if row.Member != actor.Member || row.Class == "" || sheet.has(row.Name()) {
+		if row.Member != actor.Member || row.Class == "" || sheet.hasRow(row.Name()) {
 			continue
 		}
 		old := Present
--- a/bvtable/edit.go
+++ b/bvtable/edit.go
@@ -8,12 +8,12 @@
 	"balsamvalve.example/bvverdict"
 )
 
-// CellEdit asks for a new text of a cell.
+// CellEdit requests a new text for a cell.
 type CellEdit struct {
 	Member string  `json:"member"`
 	Class  string  `json:"class,omitempty"`
 	Column Column  `json:"column"`
-	Old    *string `json:"old,omitempty"` // expected text; nil: what the cell holds when the edit arrives
+	Old    *string `json:"old,omitempty"` // expected text; nil: the cell's text when the edit arrives
 	New    string  `json:"new"`
 }
 
@@ -22,14 +22,14 @@
 	return RowName{Member: edit.Member, Class: edit.Class}
 }
 
-// Edit asks for new texts of cells, all or none.
+// Edit requests new texts for cells; it is applied entirely or not at all.
 type Edit struct {
-	Attempt string     `json:"attempt,omitempty"` // the operator's own, unique; tells a lost answer apart
+	Attempt string     `json:"attempt,omitempty"` // unique id chosen by the operator; identifies a resent edit
 	Cells   []CellEdit `json:"cells"`
 }
 
-// CellConflictError says that a cell no longer holds what the operator
-// expected, because somebody else changed it.
+// CellConflictError reports that a cell no longer holds the text that the operator expected,
+// because another edit changed it.
 type CellConflictError struct {
 	Row      string `json:"row"`
 	Cell     string `json:"cell"`
@@ -42,38 +42,38 @@
 	return fmt.Sprintf("row %s, cell %s: expected %q, but it holds %q", err.Row, err.Cell, err.Expected, err.Found)
 }
 
-func conflict(name RowName, column Column, expected, found string) error {
+func conflictError(name RowName, column Column, expected, found string) error {
 	cause := &CellConflictError{Row: name.String(), Cell: column.String(), Expected: expected, Found: found}
-	return bvverdict.Refuse(bvverdict.Conflict, "somebody else changed the table; nothing was changed").WithCause(cause)
+	return bvverdict.Refuse(bvverdict.Conflict, "another edit changed the table; nothing was changed").WithCause(cause)
 }
 
-func invalid(cause error) error {
+func invalidError(cause error) error {
 	return bvverdict.Refuse(bvverdict.Invalid, "nothing was changed").WithCause(cause)
 }
 
-func invalidCell(name RowName, column Column, reason string, args ...any) error {
+func invalidCellError(name RowName, column Column, reason string, args ...any) error {
 	problem := Problem{Row: name.String(), Cell: column.String(), Reason: fmt.Sprintf(reason, args...)}
-	return invalid(&InvalidError{Problems: []Problem{problem}})
+	return invalidError(&InvalidError{Problems: []Problem{problem}})
 }
 
-func forbidden(name RowName, column Column, reason string, args ...any) error {
+func forbiddenError(name RowName, column Column, reason string, args ...any) error {
 	return bvverdict.Refuse(bvverdict.Forbidden, "row %s, cell %s: %s", name, column, fmt.Sprintf(reason, args...))
 }
 
-// editPlan turns an edit into cells, against each table that the edit meets
-// on its way: after a lost race it is planned again on the newer one.
+// editPlan turns an edit into cells. After a conflicting commit by another edit, the cells
+// are computed again from the newer table.
 //
-// What the edit expects is fixed by the first table, so that a race for
-// different cells merges and one for the same cell conflicts.
+// The expected texts come from base, the first table that was read, so that concurrent edits
+// of different cells merge and concurrent edits of the same cell conflict.
 type editPlan struct {
 	actor Actor
 	edit  Edit
-	first *Table
+	base  *Table
 }
 
 func (plan *editPlan) cells(table *Table) ([]Cell, error) {
-	if plan.first == nil {
-		plan.first = table
+	if plan.base == nil {
+		plan.base = table
 	}
 	if err := checkDistinct(plan.edit.Cells); err != nil {
 		return nil, err
@@ -91,11 +91,10 @@
 			cells = append(cells, cell)
 		}
 	}
-	return plan.complete(table, cells)
+	return plan.addImpliedCells(table, cells)
 }
 
-// checkDistinct refuses an edit whose result would depend on the order of its
-// cells.
+// checkDistinct rejects an edit whose result would depend on the order of its cells.
 func checkDistinct(edits []CellEdit) error {
 	type cell struct {
 		name   RowName
@@ -106,61 +105,61 @@
 	for _, edit := range edits {
 		key := cell{edit.Row(), edit.Column}
 		if seen[key] {
-			return invalidCell(edit.Row(), edit.Column, "stands twice in the edit")
+			return invalidCellError(edit.Row(), edit.Column, "stands twice in the edit")
 		}
 		seen[key] = true
 		rows[edit.Row()]++
 	}
 	for _, edit := range edits {
 		if edit.Column == Presence && edit.New == Absent && rows[edit.Row()] > 1 {
-			return invalidCell(edit.Row(), edit.Column, "the edit removes the row and sets cells of it")
+			return invalidCellError(edit.Row(), edit.Column, "the edit both removes the row and sets its cells")
 		}
 	}
 	return nil
 }
 
-// authorize keeps operators to their own rows, and everybody off what shifts
-// work between members.
+// authorize restricts operators to their own rows, and rejects direct edits of shares and of
+// membership, which need the other members' consent.
 func (plan *editPlan) authorize(table *Table, edit CellEdit) error {
 	if plan.actor.Role == bvkey.Admin && table.Len() == 0 {
 		return nil
 	}
 	if plan.actor.Role != bvkey.Operator {
-		return forbidden(edit.Row(), edit.Column, "a key of role %s edits no rows", plan.actor.Role)
+		return forbiddenError(edit.Row(), edit.Column, "a key of role %s edits no rows", plan.actor.Role)
 	}
 	if edit.Member != plan.actor.Member {
-		return forbidden(edit.Row(), edit.Column, "operators of %s edit only their own rows", plan.actor.Member)
+		return forbiddenError(edit.Row(), edit.Column, "operators of %s edit only their own rows", plan.actor.Member)
 	}
 	if edit.Column == Share && edit.Class == "" {
-		return forbidden(edit.Row(), edit.Column, "a share changes only by a proposal that every other member accepts")
+		return forbiddenError(edit.Row(), edit.Column, "a share changes only by a proposal that every other member accepts")
 	}
 	if edit.Column == Presence && edit.Class == "" {
-		return forbidden(edit.Row(), edit.Column, "a member joins and leaves only by a proposal of shares")
+		return forbiddenError(edit.Row(), edit.Column, "a member joins and leaves only by a proposal of shares")
 	}
 	return nil
 }
 
 func (plan *editPlan) cell(table *Table, edit CellEdit) (Cell, error) {
 	name := edit.Row()
-	text, err := canonical(edit.Column, edit.New)
+	text, err := canonicalText(edit.Column, edit.New)
 	if err != nil {
-		return Cell{}, invalidCell(name, edit.Column, "%v", err)
+		return Cell{}, invalidCellError(name, edit.Column, "%v", err)
 	}
 	found := table.CellText(name, edit.Column)
-	expected := plan.first.CellText(name, edit.Column)
+	expected := plan.base.CellText(name, edit.Column)
 	if edit.Old != nil {
-		if expected, err = canonical(edit.Column, *edit.Old); err != nil {
-			return Cell{}, invalidCell(name, edit.Column, "expected text: %v", err)
+		if expected, err = canonicalText(edit.Column, *edit.Old); err != nil {
+			return Cell{}, invalidCellError(name, edit.Column, "expected text: %v", err)
 		}
 	}
 	if found != expected {
-		return Cell{}, conflict(name, edit.Column, expected, found)
+		return Cell{}, conflictError(name, edit.Column, expected, found)
 	}
 	return Cell{Member: edit.Member, Class: edit.Class, Column: edit.Column, Old: found, New: text}, nil
 }
 
-// canonical returns the text that Row.Cell gives for the same value.
-func canonical(column Column, text string) (string, error) {
+// canonicalText returns the text that Row.Cell returns for the same value.
+func canonicalText(column Column, text string) (string, error) {
 	if column == Presence {
 		if text != Present && text != Absent {
 			return "", fmt.Errorf("%q is neither %s nor %s", text, Present, Absent)
@@ -172,9 +171,9 @@
 	return row.Cell(column), err
 }
 
-// complete adds what follows from the cells: the presence of a new row, and
-// the cells of a row that goes, so that the history tells what it held.
-func (plan *editPlan) complete(table *Table, cells []Cell) ([]Cell, error) {
+// addImpliedCells adds the Presence cell of a new row and all non-zero cells of a removed
+// row, so that the history contains the row's last values.
+func (plan *editPlan) addImpliedCells(table *Table, cells []Cell) ([]Cell, error) {
 	var complete []Cell
 	var seen []RowName
 	for _, cell := range cells {
@@ -183,7 +182,7 @@
 			if err := plan.checkUnchanged(table, name); err != nil {
 				return nil, err
 			}
-			complete = append(complete, removal(table, name)...)
+			complete = append(complete, removalCells(table, name)...)
 			continue
 		}
 		if !slices.Contains(seen, name) {
@@ -201,33 +200,33 @@
 	return complete, nil
 }
 
-// presence returns the cell that makes a row, if it isn't there. A row that
-// somebody removed while this edit was under way must not come back with one
-// cell of it.
+// presence returns the cell that creates a row, if the row doesn't exist. It returns a
+// conflict if the row was removed while this edit was in flight: otherwise the edit would
+// create the row again with only one of its cells.
 func (plan *editPlan) presence(table *Table, name RowName) ([]Cell, error) {
 	if _, found := table.ExactRow(name); found {
 		return nil, nil
 	}
-	if _, found := plan.first.ExactRow(name); found {
-		return nil, conflict(name, Presence, Present, Absent)
+	if _, found := plan.base.ExactRow(name); found {
+		return nil, conflictError(name, Presence, Present, Absent)
 	}
 	return []Cell{{Member: name.Member, Class: name.Class, Column: Presence, Old: Absent, New: Present}}, nil
 }
 
-// checkUnchanged keeps a removal from taking along an edit that was accepted
-// after the remover looked at the row.
+// checkUnchanged returns a conflict if the row was edited after the operator who removes it
+// read it.
 func (plan *editPlan) checkUnchanged(table *Table, name RowName) error {
 	for _, column := range Columns() {
-		expected, found := plan.first.CellText(name, column), table.CellText(name, column)
+		expected, found := plan.base.CellText(name, column), table.CellText(name, column)
 		if expected != found {
-			return conflict(name, column, expected, found)
+			return conflictError(name, column, expected, found)
 		}
 	}
 	return nil
 }
 
-// removal returns the cells that remove a row.
-func removal(table *Table, name RowName) []Cell {
+// removalCells returns the cells that remove a row.
+func removalCells(table *Table, name RowName) []Cell {
 	empty := &Row{}
 	var cells []Cell
 	for _, column := range Columns() {
--- a/bvtable/editor.go
+++ b/bvtable/editor.go
@@ -19,34 +19,32 @@
 	maxRetryPause = 500 * bvclock.Millisecond
 )
 
-// Editor edits the table for operators. Store and Follower must be set; it is
-// safe for concurrent use, by many hosts at once.
+// Editor edits the table for operators. Store and Follower must be set. It is safe for
+// concurrent use, also by several hosts.
 //
-// Errors are bvverdict errors. The codes are Invalid (a rule is broken; wraps
-// an *InvalidError), Conflict (wraps a *CellConflictError where a cell is the
-// cause), Forbidden, BadRequest, Overloaded (too many edits at once), and
-// PlatformUnavailable, whose verdict says whether the edit may have been
-// accepted.
+// Errors are bvverdict errors. The codes are Invalid (a rule is broken; wraps an
+// *InvalidError), Conflict (wraps a *CellConflictError where a cell is the cause), Forbidden,
+// BadRequest, Overloaded (too many concurrent edits), and PlatformUnavailable, whose verdict
+// states whether the edit may have been accepted.
 //
-// A verdict speaks for one call. When an earlier call with the same attempt
-// got no answer or an unknown one, then "not run" with PlatformUnavailable or
-// Overloaded doesn't speak for that: its attempt couldn't be looked up.
+// A verdict applies to one call. If an earlier call with the same attempt got no answer or
+// one with an unknown outcome, "not run" with PlatformUnavailable or Overloaded doesn't apply
+// to that earlier call, because its attempt couldn't be looked up.
 type Editor struct {
 	Store     bvplatform.Store
 	Follower  *Follower
-	Endpoints bvplatform.EndpointList // knows models and services; may be nil
-	Hosts     bvplatform.HostList     // whose confirmation is awaited; may be nil
+	Endpoints bvplatform.EndpointList // source of the known models and services; may be nil
+	Hosts     bvplatform.HostList     // hosts that must confirm an edit; may be nil
 	Confirmer Confirmer               // may be nil
-	Host      string                  // own name in Hosts
+	Host      string                  // this host's name in Hosts
 
-	pause func(ctx context.Context, tries int) // nil: wait a random time that grows
+	pause func(ctx context.Context, tries int) // nil: random exponential backoff
 }
 
-// Get returns the newest table: one that holds every edit accepted before the
-// call.
+// Get returns the newest table, which includes every edit accepted before the call.
 func (editor *Editor) Get(ctx context.Context) (*Table, error) {
 	if err := editor.Follower.refresh(ctx); err != nil {
-		return nil, unavailable(err)
+		return nil, unavailableError(err)
 	}
 	return editor.Follower.Snapshot(), nil
 }
@@ -63,13 +61,13 @@
 	}
 	changes, err := storage{editor.Store}.history(ctx, below, limit)
 	if err != nil {
-		return nil, unavailable(err)
+		return nil, unavailableError(err)
 	}
 	return changes, nil
 }
 
-// Set edits cells, all or none, and reports on which hosts the new version is
-// in force. An edit that changes nothing makes no version.
+// Set applies an edit entirely or not at all, and reports on which hosts the new version is
+// in force. An edit that changes nothing creates no version.
 func (editor *Editor) Set(ctx context.Context, actor Actor, edit Edit) (Report, error) {
 	started := editor.Follower.Clock.Now()
 	plan := &editPlan{actor: actor, edit: edit}
@@ -80,10 +78,10 @@
 	if err != nil {
 		return Report{}, err
 	}
-	return editor.announce(ctx, started, change), nil
+	return editor.pushChange(ctx, started, change), nil
 }
 
-// draft is a change that isn't accepted yet.
+// draft is a change that is not accepted yet.
 type draft struct {
 	cells    []Cell
 	proposal string
@@ -92,39 +90,38 @@
 	puts     []bvplatform.Put
 }
 
-func (draft draft) empty() bool {
+func (draft draft) isEmpty() bool {
 	return len(draft.cells) == 0 && len(draft.puts) == 0
 }
 
-// planner drafts a change against the newest table. It is called again after
-// each lost race.
+// planner drafts a change against the newest table. It is called again after each commit
+// that conflicts with another edit.
 type planner func(ctx context.Context, table *Table) (draft, error)
 
-// validate checks the table whole, so that an edit that merged with another
-// one can't break a rule that each kept alone. Models and services are checked
-// only in the cells of this edit: the platform's list lags, and a rival's
-// model that left must not block everybody.
+// validate checks all rows, because two merged edits can together break a rule that each of
+// them satisfies. Models and services are checked only in the cells of this edit: the
+// platform's list lags, and a removed model in another member's row must not block all edits.
 func (editor *Editor) validate(ctx context.Context, next *Table, change Change) error {
-	validation := validation{known: editor.known(ctx)}
+	validation := validation{catalog: editor.catalog(ctx)}
 	for _, cell := range change.Cells {
 		row, found := next.ExactRow(cell.Row())
 		switch {
 		case found && cell.Column == Models:
-			validation.checkKnown(row.Name(), Models, "model", row.Models, validation.known.Models)
+			validation.checkKnown(row.Name(), Models, "model", row.Models, validation.catalog.Models)
 		case found && cell.Column == Services:
-			validation.checkKnown(row.Name(), Services, "service", row.Services, validation.known.Services)
+			validation.checkKnown(row.Name(), Services, "service", row.Services, validation.catalog.Services)
 		}
 	}
 	if len(validation.problems) > 0 {
-		return invalid(&InvalidError{Problems: validation.problems})
+		return invalidError(&InvalidError{Problems: validation.problems})
 	}
 	if err := Validate(next.Rows(), Catalog{}); err != nil {
-		return invalid(err)
+		return invalidError(err)
 	}
 	return nil
 }
 
-func (editor *Editor) known(ctx context.Context) Catalog {
+func (editor *Editor) catalog(ctx context.Context) Catalog {
 	if editor.Endpoints == nil {
 		return Catalog{}
 	}
@@ -132,19 +129,19 @@
 	if err != nil {
 		return Catalog{}
 	}
-	var known Catalog
+	var catalog Catalog
 	for _, endpoint := range endpoints {
 		if endpoint.Kind == bvplatform.Engine {
-			known.Models = append(known.Models, endpoint.Serves)
+			catalog.Models = append(catalog.Models, endpoint.Serves)
 		} else {
-			known.Services = append(known.Services, endpoint.Serves)
+			catalog.Services = append(catalog.Services, endpoint.Serves)
 		}
 	}
-	return known
+	return catalog
 }
 
-// wait pauses before a retry, for a random time so that racing editors don't
-// meet again at once. It returns an error when the context has ended.
+// wait pauses before a retry, for a random time so that concurrent editors don't conflict
+// again immediately. It returns an error when the context has ended.
 func (editor *Editor) wait(ctx context.Context, tries int) error {
 	if editor.pause != nil {
 		editor.pause(ctx, tries)
@@ -161,7 +158,7 @@
 	}
 }
 
-func unavailable(cause error) error {
+func unavailableError(cause error) error {
 	return bvverdict.Refuse(bvverdict.PlatformUnavailable, "the platform can't be reached; nothing was changed").
 		WithRetryAfter(retryUnconfirmed).WithCause(cause)
 }
--- a/bvtable/editor_test.go
+++ b/bvtable/editor_test.go
@@ -19,7 +19,7 @@
 	admin    = Actor{Member: "consortium", Role: bvkey.Admin}
 )
 
-const firstTable = `version,member,class,share,priority,budget,idle,models
+const initialTable = `version,member,class,share,priority,budget,idle,models
 0,piran,,60,0,1000,15m,
 ,piran,booking,,5,400,,small large
 ,brindley,,40,0,0,0,
@@ -36,7 +36,7 @@
 }
 
 func seed(t require.TestingT, store bvplatform.Store) {
-	_, err := newEditor(store).Import(context.Background(), admin, "", strings.NewReader(firstTable), false)
+	_, err := newEditor(store).Import(context.Background(), admin, "", strings.NewReader(initialTable), false)
 	require.NoError(t, err)
 }
 
--- a/bvtable/fake_test.go
+++ b/bvtable/fake_test.go
@@ -12,8 +12,7 @@
 	"balsamvalve.example/bvplatform"
 )
 
-// fixSeed makes rapid draw the same cases in each run, but for runs that give
-// a seed themselves.
+// fixSeed makes rapid draw the same cases in each run, except in runs with an explicit seed.
 func fixSeed(t *testing.T, checks int) {
 	t.Helper()
 	if flag.Lookup("rapid.seed").Value.String() != "0" {
@@ -26,114 +25,114 @@
 	t.Cleanup(func() { _ = flag.Set("rapid.seed", "0") })
 }
 
-// fault is what happens to a commit.
+// fault is the failure of a commit.
 type fault int
 
 const (
-	noFault    fault = iota
-	answerLost       // applied, but the answer doesn't come
-	writeLost        // not applied, and no answer comes
-	delayed          // no answer comes; applied later
+	noFault      fault = iota
+	lostAnswer         // applied, but the answer is lost
+	lostWrite          // not applied, and no answer arrives
+	delayedWrite       // no answer arrives; applied later
 )
 
-// faultyStore is the platform's table service with failures. The switches at
-// the end break what the product relies on, to see the oracles fail.
+// faultyStore is the platform's table service with failures. The switches at the end break
+// guarantees that the product relies on, to check that the oracles detect it.
 type faultyStore struct {
 	bvplatform.Memory
-	out      bool
-	next     []fault // of the next commits
-	before   func()  // runs once, before the next commit reaches the service
-	during   func()  // runs once, between the next scan and what follows it
-	waiting  []bvplatform.Transaction
-	readsOK  int    // reads that succeed before the ones that fail
-	readOuts int    // reads that fail
-	failed   func() // called when a read fails
+	unavailable      bool
+	faults           []fault // faults of the next commits
+	beforeCommit     func()  // runs once, before the next commit reaches the service
+	duringScan       func()  // runs once, after the next scan
+	delayed          []bvplatform.Transaction
+	readsBeforeFault int    // reads that succeed before the failing ones
+	failingReads     int    // number of reads that fail
+	onReadFailure    func() // called when a read fails
 
 	ignoreChecks bool // broken: every transaction is applied
-	forgets      bool // broken: transactions are acknowledged, but not applied
+	dropWrites   bool // broken: transactions are acknowledged, but not applied
 }
 
-var errOut = errors.Join(errors.New("out"), bvplatform.ErrUnavailable)
+var errUnavailable = errors.Join(errors.New("out"), bvplatform.ErrUnavailable)
 
 func (store *faultyStore) Commit(ctx context.Context, transaction bvplatform.Transaction) (int64, error) {
-	if before := store.before; before != nil {
-		store.before = nil
+	if before := store.beforeCommit; before != nil {
+		store.beforeCommit = nil
 		before()
 	}
-	if store.out {
-		return 0, errOut
+	if store.unavailable {
+		return 0, errUnavailable
 	}
 	happens := noFault
-	if len(store.next) > 0 {
-		happens, store.next = store.next[0], store.next[1:]
+	if len(store.faults) > 0 {
+		happens, store.faults = store.faults[0], store.faults[1:]
 	}
 	if store.ignoreChecks {
 		transaction.Checks = nil
 	}
-	if store.forgets {
+	if store.dropWrites {
 		return 1, nil
 	}
 	switch happens {
-	case writeLost:
+	case lostWrite:
 		return 0, bvplatform.ErrUnknown
-	case delayed:
-		store.waiting = append(store.waiting, transaction)
+	case delayedWrite:
+		store.delayed = append(store.delayed, transaction)
 		return 0, bvplatform.ErrUnknown
-	case answerLost:
+	case lostAnswer:
 		_, _ = store.Memory.Commit(ctx, transaction)
 		return 0, bvplatform.ErrUnknown
 	}
 	return store.Memory.Commit(ctx, transaction)
 }
 
-// applyDelayed lets the delayed commits take effect, if their checks hold.
+// applyDelayed applies the delayed commits whose checks still hold.
 func (store *faultyStore) applyDelayed() {
-	for _, transaction := range store.waiting {
+	for _, transaction := range store.delayed {
 		_, _ = store.Memory.Commit(context.Background(), transaction)
 	}
-	store.waiting = nil
+	store.delayed = nil
 }
 
 func (store *faultyStore) Read(ctx context.Context, keys ...string) ([]bvplatform.Row, error) {
-	if store.readFails() {
-		return nil, errOut
+	if store.failsRead() {
+		return nil, errUnavailable
 	}
 	return store.Memory.Read(ctx, keys...)
 }
 
 func (store *faultyStore) Scan(ctx context.Context, prefix, after string, limit int) ([]bvplatform.Row, error) {
-	if store.readFails() {
-		return nil, errOut
+	if store.failsRead() {
+		return nil, errUnavailable
 	}
-	if during := store.during; during != nil {
-		store.during = nil
+	if during := store.duringScan; during != nil {
+		store.duringScan = nil
 		defer during()
 	}
 	return store.Memory.Scan(ctx, prefix, after, limit)
 }
 
-func (store *faultyStore) readFails() bool {
-	fails := store.out
+func (store *faultyStore) failsRead() bool {
+	fails := store.unavailable
 	switch {
-	case store.readOuts > 0 && store.readsOK > 0:
-		store.readsOK--
-	case store.readOuts > 0:
-		store.readOuts--
+	case store.failingReads > 0 && store.readsBeforeFault > 0:
+		store.readsBeforeFault--
+	case store.failingReads > 0:
+		store.failingReads--
 		fails = true
 	}
-	if fails && store.failed != nil {
-		store.failed()
+	if fails && store.onReadFailure != nil {
+		store.onReadFailure()
 	}
 	return fails
 }
 
-// fakePeers connects followers. A host that is absent or cut doesn't answer.
+// fakePeers connects followers. A host that is missing or cut off doesn't answer.
 type fakePeers struct {
 	hosts map[string]*Follower
 	cut   map[string]bool
 }
 
-// peersOf is the view of one host.
+// peersOf is the set of peers of one host.
 type peersOf struct {
 	*fakePeers
 	self string
--- a/bvtable/follower.go
+++ b/bvtable/follower.go
@@ -12,13 +12,12 @@
 	"balsamvalve.example/bvverdict"
 )
 
-// readTimeout bounds one look at the store or at a peer, so that a look at a
-// hanging store and then at peers stays within MaxConfirmAge.
+// readTimeout bounds one read from the store or a peer, so that a read from a hanging store
+// followed by reads from peers ends within MaxConfirmAge.
 const readTimeout = bvclock.Second
 
-// Follower keeps a host's table up with the store, or with the other hosts
-// while the store is out. Store and Clock must be set; it is safe for
-// concurrent use.
+// Follower keeps a host's table up to date with the store, or with the other hosts while the
+// store is unavailable. Store and Clock must be set. It is safe for concurrent use.
 type Follower struct {
 	Store bvplatform.Store
 	Peers Peers // may be nil
@@ -30,8 +29,8 @@
 	lastErr  error // of the last poll
 }
 
-// Current returns the table in force, or an error that refuses new work as
-// not run. It only reads memory.
+// Current returns the table in force, or an error with which new work is refused as not run.
+// It only reads memory.
 func (follower *Follower) Current() (*Table, error) {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
@@ -42,33 +41,34 @@
 	return table, err
 }
 
-// LastError returns why the last poll confirmed nothing; nil if it did.
+// LastError returns the error of the last poll; nil if the poll confirmed a version.
 func (follower *Follower) LastError() error {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
 	return follower.lastErr
 }
 
-// VersionInForce returns the version in force and when it was last confirmed, as a
-// time of the follower's clock; zeros before the first.
-func (follower *Follower) VersionInForce() (version int64, confirmed bvclock.Time) {
+// VersionInForce returns the version in force and the time of its last confirmation by the
+// follower's clock. Both are zero before the first table.
+func (follower *Follower) VersionInForce() (version int64, confirmedAt bvclock.Time) {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
-	return follower.state.Version(), follower.state.confirmed
+	return follower.state.Version(), follower.state.confirmedAt
 }
 
-// Snapshot returns the table in force, confirmed or not; nil before the first.
+// Snapshot returns the table in force, confirmed or not; nil before the first table.
 func (follower *Follower) Snapshot() *Table {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
 	return follower.state.table
 }
 
-// SnapshotNewerThan serves Peers.FetchSnapshot.
+// SnapshotNewerThan returns the version in force and, if it is above known, its encoded
+// table. It serves Peers.FetchSnapshot.
 func (follower *Follower) SnapshotNewerThan(known int64) (version int64, snapshot []byte, err error) {
 	table := follower.Snapshot()
 	if table == nil {
-		return 0, nil, errors.New("table: this host has none yet")
+		return 0, nil, errors.New("table: this host has no table yet")
 	}
 	if table.version <= known {
 		return table.version, nil, nil
@@ -77,9 +77,8 @@
 	return table.version, snapshot, err
 }
 
-// ApplyCommitted takes changes that a peer has seen committed and returns the version
-// then in force. When they don't follow the version in force, the store is
-// read.
+// ApplyCommitted applies changes that a peer has seen committed and returns the version then
+// in force. If that is below the given version, the store is read.
 func (follower *Follower) ApplyCommitted(ctx context.Context, version int64, changes []Change) (int64, error) {
 	err := follower.apply(changes)
 	if err != nil {
@@ -100,7 +99,7 @@
 	ticker := time.NewTicker(interval.Std())
 	defer ticker.Stop()
 	for {
-		_ = follower.Poll(ctx) // Current tells when nothing can be confirmed
+		_ = follower.Poll(ctx) // Current reports a missing confirmation
 		select {
 		case <-ctx.Done():
 			return
@@ -109,19 +108,19 @@
 	}
 }
 
-// Poll looks for a newer version: at the store with one small read, or at
-// peers when the store doesn't answer. It returns an error when neither
-// confirmed the version in force.
+// Poll checks for a newer version: with one small read from the store, or with queries to
+// peers when the store doesn't answer. It returns an error when neither confirmed the version
+// in force.
 //
-// A host that starts asks the peers first. A store that was set back would
-// otherwise make a restarted host revert edits that the others have in force.
+// A host that starts queries the peers first. Otherwise a store that was restored from an
+// older backup would make a restarted host revert edits that the other hosts have in force.
 func (follower *Follower) Poll(ctx context.Context) error {
 	if follower.Snapshot() == nil {
-		_ = follower.askPeers(ctx) // the store is asked anyhow
+		_ = follower.queryPeers(ctx) // the store is read in either case
 	}
 	err := follower.refresh(ctx)
 	if err != nil {
-		if peerErr := follower.askPeers(ctx); peerErr != nil {
+		if peerErr := follower.queryPeers(ctx); peerErr != nil {
 			err = errors.Join(err, peerErr)
 		} else {
 			err = nil
@@ -137,20 +136,20 @@
 func (follower *Follower) refresh(ctx context.Context) error {
 	before, _ := follower.VersionInForce()
 	sent := follower.Clock.Now()
-	shown, err := follower.storeVersion(ctx)
+	newest, err := follower.storeVersion(ctx)
 	if err != nil {
 		return err
 	}
-	// A store that shows less than what was in force before the question was
-	// sent has been set back. The version in force was accepted once and must
-	// not revert: keep it, and take the answer for no confirmation.
-	if shown < before {
-		return fmt.Errorf("table: the store shows version %d, but %d is in force", shown, before)
+	// A store whose version is below the one in force before the read was restored from an
+	// older backup. The version in force was accepted and must not be reverted: keep it, and
+	// don't count the answer as a confirmation.
+	if newest < before {
+		return fmt.Errorf("table: the store shows version %d, but %d is in force", newest, before)
 	}
-	if err := follower.catchUp(ctx, shown); err != nil {
+	if err := follower.catchUp(ctx, newest); err != nil {
 		return err
 	}
-	follower.confirm(shown, sent)
+	follower.confirm(newest, sent)
 	return nil
 }
 
@@ -160,22 +159,22 @@
 	return storage{follower.Store}.version(ctx)
 }
 
-// catchUp reads the changes up to a version, or all rows when there is no
-// table yet, when the changes are many or when they are no longer kept.
-func (follower *Follower) catchUp(ctx context.Context, shown int64) error {
+// catchUp reads the changes up to a version. It reads all rows instead when there is no table
+// yet, when there are more than maxReplay changes, or when they are no longer retained.
+func (follower *Follower) catchUp(ctx context.Context, newest int64) error {
 	table := follower.Snapshot()
-	if table != nil && shown <= table.version {
+	if table != nil && newest <= table.version {
 		return nil
 	}
-	if table != nil && shown-table.version <= maxReplay {
-		changes, err := storage{follower.Store}.changes(ctx, table.version+1, shown)
+	if table != nil && newest-table.version <= maxReplay {
+		changes, err := storage{follower.Store}.changes(ctx, table.version+1, newest)
 		if err != nil {
 			return err
 		}
 		if err := follower.apply(changes); err != nil {
 			return err
 		}
-		if version, _ := follower.VersionInForce(); version >= shown {
+		if version, _ := follower.VersionInForce(); version >= newest {
 			return nil
 		}
 	}
@@ -199,8 +198,8 @@
 	follower.state.Install(table)
 }
 
-func (follower *Follower) confirm(shown int64, sent bvclock.Time) {
+func (follower *Follower) confirm(newest int64, sent bvclock.Time) {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
-	follower.state.Confirm(shown, sent)
+	follower.state.Confirm(newest, sent)
 }
--- a/bvtable/linear_test.go
+++ b/bvtable/linear_test.go
@@ -18,7 +18,7 @@
 	"balsamvalve.example/bvverdict"
 )
 
-// lossyStore loses answers and writes of editors that run at once.
+// lossyStore loses answers and writes of concurrent editors.
 type lossyStore struct {
 	bvplatform.Memory
 	commits      atomic.Int64
@@ -77,7 +77,7 @@
 	},
 }
 
-// recordCells lets operators on several hosts read and set two cells at once.
+// recordCells records operators on several hosts who concurrently read and set two cells.
 func recordCells(t *testing.T, store bvplatform.Store) []porcupine.Operation {
 	var mutex sync.Mutex
 	var history []porcupine.Operation
@@ -140,7 +140,7 @@
 func TestLinearizabilityCheckCatchesAStoreThatIgnoresChecks(t *testing.T) {
 	store := &lossyStore{ignoreChecks: true}
 	seed(t, &store.Memory)
-	// Whether two edits overlap is up to the scheduler; many rounds make sure.
+	// Whether two edits overlap depends on the scheduler, so the test runs many rounds.
 	for range 50 {
 		if porcupine.CheckOperationsTimeout(cellModel, recordCells(t, store), time.Minute) == porcupine.Illegal {
 			return
--- a/bvtable/machine_test.go
+++ b/bvtable/machine_test.go
@@ -16,24 +16,24 @@
 
 const machineHosts = 4
 
-// machine is a consortium of hosts that follow and edit one table while the
-// platform and the ways between hosts fail.
+// machine is a set of hosts that follow and edit one table while the platform and the
+// connections between hosts fail.
 type machine struct {
-	store    *faultyStore
-	clock    bvclock.Manual
-	peers    *fakePeers
-	editors  []*Editor
-	highest  []int64           // version each host has shown since its start
-	accepted map[string]int64  // attempt of each accepted edit, to its version
-	refused  map[string]bool   // attempts of edits that were said not to have run
-	unknown  map[string]bool   // attempts of edits that were said to may have run
-	expected map[string]string // attempt of an edit, to the text that it expects
-	attempts int
-	trouble  bvclock.Time // when a read of the store last failed
-	shown    []shownVersion
+	store           *faultyStore
+	clock           bvclock.Manual
+	peers           *fakePeers
+	editors         []*Editor
+	highest         []int64           // highest version of each host since its start
+	accepted        map[string]int64  // attempt of each accepted edit to its version
+	refused         map[string]bool   // attempts of edits that were reported as not run
+	unknown         map[string]bool   // attempts of edits that were reported as may have run
+	expected        map[string]string // attempt of an edit to its expected text
+	attempts        int
+	lastReadFailure bvclock.Time // when a read of the store last failed
+	shown           []shownVersion
 }
 
-// shownVersion is the newest version at some time.
+// shownVersion is the newest version at a given time.
 type shownVersion struct {
 	at      bvclock.Time
 	version int64
@@ -41,25 +41,25 @@
 
 func newMachine(t *rapid.T, store *faultyStore) *machine {
 	machine := &machine{
-		store:    store,
-		peers:    &fakePeers{hosts: map[string]*Follower{}, cut: map[string]bool{}},
-		editors:  make([]*Editor, machineHosts),
-		highest:  make([]int64, machineHosts),
-		accepted: map[string]int64{},
-		refused:  map[string]bool{},
-		unknown:  map[string]bool{},
-		expected: map[string]string{},
-		trouble:  -bvclock.Time(MaxConfirmAge),
+		store:           store,
+		peers:           &fakePeers{hosts: map[string]*Follower{}, cut: map[string]bool{}},
+		editors:         make([]*Editor, machineHosts),
+		highest:         make([]int64, machineHosts),
+		accepted:        map[string]int64{},
+		refused:         map[string]bool{},
+		unknown:         map[string]bool{},
+		expected:        map[string]string{},
+		lastReadFailure: -bvclock.Time(MaxConfirmAge),
 	}
 	seed(t, store)
-	store.failed = func() { machine.trouble = machine.clock.Now() }
+	store.onReadFailure = func() { machine.lastReadFailure = machine.clock.Now() }
 	for i := range machineHosts {
 		machine.start(i)
 	}
 	return machine
 }
 
-// start replaces a host's process: nothing that it knew is left.
+// start replaces a host's process, which loses all its state.
 func (machine *machine) start(i int) {
 	editor := newEditor(machine.store)
 	editor.Follower.Clock = &machine.clock
@@ -73,7 +73,7 @@
 	return rapid.IntRange(0, machineHosts-1).Draw(t, "host")
 }
 
-// edit is one operator's edit, with the failures that meet it.
+// edit sends one operator's edit, sometimes twice.
 func (machine *machine) edit(t *rapid.T, host int) {
 	actor := rapid.SampledFrom([]Actor{piran, brindley}).Draw(t, "actor")
 	class := rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "class")
@@ -102,11 +102,11 @@
 	editor := machine.editors[host]
 	editor.pause = func(_ context.Context, tries int) {
 		if tries >= 2 {
-			cancel() // the operator's testTimeout ends
+			cancel() // the operator's timeout expires
 		}
 	}
 	version, wasAccepted := machine.accepted[edit.Attempt]
-	wasReachable := !machine.store.out && machine.store.readOuts == 0
+	wasReachable := !machine.store.unavailable && machine.store.failingReads == 0
 	report, err := editor.Set(ctx, actor, edit)
 	if wasAccepted && wasReachable {
 		require.NoError(t, err, "an accepted edit that is sent again is the same edit")
@@ -115,7 +115,7 @@
 	if err == nil && report.Changed {
 		machine.accepted[edit.Attempt] = report.Version
 	}
-	if err != nil && !wasAccepted && bvverdict.Of(err) == bvverdict.NotRun && !machine.leavesOpen(edit.Attempt, err) {
+	if err != nil && !wasAccepted && bvverdict.Of(err) == bvverdict.NotRun && !machine.isInconclusive(edit.Attempt, err) {
 		machine.refused[edit.Attempt] = true
 	}
 	if err != nil && bvverdict.Of(err) != bvverdict.NotRun {
@@ -124,18 +124,18 @@
 	machine.checkConflict(t, err)
 }
 
-// leavesOpen reports whether a refusal speaks for its own sending only: an
-// earlier one has an unknown outcome, and this one couldn't look that up.
-func (machine *machine) leavesOpen(attempt string, err error) bool {
+// isInconclusive reports whether a refusal applies to its own send only: an earlier send has
+// an unknown outcome, and this one couldn't look it up.
+func (machine *machine) isInconclusive(attempt string, err error) bool {
 	code := bvverdict.From(err).Code()
 	return machine.unknown[attempt] && (code == bvverdict.PlatformUnavailable || code == bvverdict.Overloaded)
 }
 
-// checkConflict holds a conflict against the newest table: the cell must
-// really hold what the operator is told.
+// checkConflict compares a conflict with the newest table: the cell must hold the text that
+// the conflict reports.
 func (machine *machine) checkConflict(t *rapid.T, err error) {
 	var conflict *CellConflictError
-	if !errors.As(err, &conflict) || machine.store.out {
+	if !errors.As(err, &conflict) || machine.store.unavailable {
 		return
 	}
 	column, parseErr := ParseColumn(conflict.Cell)
@@ -146,12 +146,12 @@
 }
 
 func drawFaults(t *rapid.T) []fault {
-	return rapid.SliceOfN(rapid.SampledFrom([]fault{noFault, answerLost, writeLost, delayed}), 0, 4).Draw(t, "faults")
+	return rapid.SliceOfN(rapid.SampledFrom([]fault{noFault, lostAnswer, lostWrite, delayedWrite}), 0, 4).Draw(t, "faults")
 }
 
 func (machine *machine) failReads(t *rapid.T) {
-	machine.store.readsOK = rapid.IntRange(0, 9).Draw(t, "readsBefore")
-	machine.store.readOuts = rapid.IntRange(1, 4).Draw(t, "reads")
+	machine.store.readsBeforeFault = rapid.IntRange(0, 9).Draw(t, "readsBefore")
+	machine.store.failingReads = rapid.IntRange(1, 4).Draw(t, "reads")
 }
 
 func (machine *machine) newest(t *rapid.T) *Table {
@@ -163,19 +163,19 @@
 func (machine *machine) actions() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
 		"edit": func(t *rapid.T) {
-			machine.store.next = drawFaults(t)
+			machine.store.faults = drawFaults(t)
 			machine.edit(t, machine.drawHost(t))
 		},
 		"race": func(t *rapid.T) {
-			machine.store.before = func() { machine.edit(t, machine.drawHost(t)) }
-			machine.store.next = drawFaults(t)
+			machine.store.beforeCommit = func() { machine.edit(t, machine.drawHost(t)) }
+			machine.store.faults = drawFaults(t)
 			machine.edit(t, machine.drawHost(t))
 		},
 		"applyDelayed": func(*rapid.T) { machine.store.applyDelayed() },
 		"poll": func(t *rapid.T) {
 			_ = machine.editors[machine.drawHost(t)].Follower.Poll(context.Background())
 		},
-		"push": func(t *rapid.T) { // changes come twice and out of order
+		"push": func(t *rapid.T) { // changes arrive twice and out of order
 			from := rapid.Int64Range(1, 1+int64(len(machine.accepted))).Draw(t, "from")
 			changes, err := storage{&machine.store.Memory}.changes(context.Background(), from, from+1)
 			require.NoError(t, err)
@@ -184,30 +184,30 @@
 		"restartInRace": func(t *rapid.T) {
 			host := machine.drawHost(t)
 			other := (host + 1) % machineHosts
-			machine.store.during = func() { machine.edit(t, other) }
+			machine.store.duringScan = func() { machine.edit(t, other) }
 			machine.start(host)
 			_ = machine.editors[host].Follower.Poll(context.Background())
-			machine.store.during = nil
+			machine.store.duringScan = nil
 		},
 		"restart":    func(t *rapid.T) { machine.restart(t, machine.drawHost(t)) },
 		"cut":        func(t *rapid.T) { machine.peers.cut[hostName(machine.drawHost(t))] = true },
 		"mend":       func(*rapid.T) { clear(machine.peers.cut) },
-		"outage":     func(*rapid.T) { machine.store.out = true },
-		"outageEnds": func(*rapid.T) { machine.store.out = false },
+		"outage":     func(*rapid.T) { machine.store.unavailable = true },
+		"outageEnds": func(*rapid.T) { machine.store.unavailable = false },
 		"readsFail":  func(t *rapid.T) { machine.failReads(t) },
 		"wait":       func(t *rapid.T) { machine.clock.Advance(bvclock.Duration(rapid.IntRange(1, 5000).Draw(t, "ms"))) },
 		"":           machine.check,
 	}
 }
 
-// restart starts a host anew and polls once: it must come up with the highest
-// version that the store or any peer in reach shows, or admit nothing.
+// restart restarts a host and polls once. The host must then have the newest version of the
+// store, or in an outage at least the highest version of all reachable peers.
 func (machine *machine) restart(t *rapid.T, i int) {
-	machine.store.readOuts = 0
+	machine.store.failingReads = 0
 	machine.start(i)
 	_ = machine.editors[i].Follower.Poll(context.Background())
 	inForce, _ := machine.editors[i].Follower.VersionInForce()
-	if !machine.store.out {
+	if !machine.store.unavailable {
 		require.Equal(t, machine.newest(t).Version(), inForce)
 		return
 	}
@@ -219,9 +219,9 @@
 	}
 }
 
-// check is the oracle: the history is a chain in which every accepted edit
-// stands once, no refused one stands, and each cell is changed from what it
-// held; each host has the table of its version, and no host goes back.
+// check is the oracle. The history contains every accepted edit exactly once and no refused
+// edit, and the old text of each changed cell is the cell's text in the version before. Each
+// host has the table of its version, and no host's version decreases.
 func (machine *machine) check(t *rapid.T) {
 	newest := machine.newest(t)
 	changes, err := storage{&machine.store.Memory}.changes(context.Background(), 1, newest.Version())
@@ -231,7 +231,7 @@
 	tables := []*Table{{}}
 	for i, change := range changes {
 		require.NotContains(t, versions, change.Attempt, "an edit is in force twice")
-		require.False(t, machine.refused[change.Attempt], "version %d was said not to have run", change.Version)
+		require.False(t, machine.refused[change.Attempt], "version %d was reported as not run", change.Version)
 		versions[change.Attempt] = change.Version
 		for _, cell := range change.Cells {
 			require.Equal(t, cell.Old, tables[i].CellText(cell.Row(), cell.Column), "version %d reverts an edit unseen", change.Version)
@@ -250,7 +250,7 @@
 	machine.shown = append(machine.shown, shownVersion{machine.clock.Now(), newest.Version()})
 	for i, editor := range machine.editors {
 		version, _ := editor.Follower.VersionInForce()
-		require.GreaterOrEqual(t, version, machine.highest[i], "%s went back", hostName(i))
+		require.GreaterOrEqual(t, version, machine.highest[i], "the version of %s decreased", hostName(i))
 		machine.highest[i] = version
 		if table := editor.Follower.Snapshot(); table != nil {
 			require.Equal(t, tables[version].Rows(), table.Rows(), "%s has another table of version %d", hostName(i), version)
@@ -259,12 +259,13 @@
 	}
 }
 
-// checkAdmits holds a host that takes new work to every version older than
-// the bound. In an outage of the store it may go on with what its peers have.
+// checkAdmits checks that a host that admits new work has every version older than
+// MaxConfirmAge. During and shortly after failed reads of the store it may use its peers'
+// version.
 func (machine *machine) checkAdmits(t *rapid.T, follower *Follower) {
 	now := machine.clock.Now()
 	table, err := follower.Current()
-	if err != nil || now.Sub(machine.trouble) <= MaxConfirmAge {
+	if err != nil || now.Sub(machine.lastReadFailure) <= MaxConfirmAge {
 		return
 	}
 	for _, shown := range machine.shown {
@@ -282,7 +283,7 @@
 	})
 }
 
-// recorder takes the place of a test whose failure is wanted.
+// recorder stands in for a test that is expected to fail.
 type recorder struct {
 	*testing.T
 	failed bool
@@ -298,7 +299,7 @@
 
 var _ bvplatform.Store = &faultyStore{}
 
-func caught(t *testing.T, machineOf func(*rapid.T) *machine) bool {
+func isCaught(t *testing.T, machineOf func(*rapid.T) *machine) bool {
 	fixSeed(t, 50)
 	recorder := &recorder{T: t}
 	rapid.Check(recorder, func(t *rapid.T) {
@@ -308,21 +309,21 @@
 }
 
 func TestOracleCatchesAStoreThatIgnoresChecks(t *testing.T) {
-	require.True(t, caught(t, func(t *rapid.T) *machine {
+	require.True(t, isCaught(t, func(t *rapid.T) *machine {
 		return newMachine(t, &faultyStore{ignoreChecks: true})
 	}))
 }
 
 func TestOracleCatchesAStoreThatForgets(t *testing.T) {
-	require.True(t, caught(t, func(t *rapid.T) *machine {
+	require.True(t, isCaught(t, func(t *rapid.T) *machine {
 		machine := newMachine(t, &faultyStore{})
-		machine.store.forgets = true
+		machine.store.dropWrites = true
 		return machine
 	}))
 }
 
 func TestOracleCatchesAHostThatReverts(t *testing.T) {
-	require.True(t, caught(t, func(t *rapid.T) *machine {
+	require.True(t, isCaught(t, func(t *rapid.T) *machine {
 		machine := newMachine(t, &faultyStore{})
 		old := machine.newest(t)
 		machine.send(t, 0, piran, Edit{Attempt: "first", Cells: []CellEdit{{Member: "piran", Column: Budget, New: "9"}}})
--- a/bvtable/peers.go
+++ b/bvtable/peers.go
@@ -9,37 +9,36 @@
 	"balsamvalve.example/bvclock"
 )
 
-// peersPerPoll is the number of peers that are asked when the store is out.
-// Each poll asks other ones, so that a version which one host has reaches all
-// in a few polls without everybody asking everybody.
+// peersPerPoll is the number of peers that are queried when the store is unavailable. Each
+// poll queries different peers, so that a version spreads from one host to all in a few polls
+// without each host querying all others.
 const peersPerPoll = 3
 
-// versionOnly asks a peer for its version, without its table.
+// versionOnly is a known version that makes a peer return its version without the table.
 const versionOnly = math.MaxInt64
 
-// Peers asks other hosts for their tables.
+// Peers fetches the tables of other hosts.
 type Peers interface {
-	// Names returns the other live hosts, as last known.
+	// Names returns the other hosts that were live when the list was last read.
 	Names() []string
-	// FetchSnapshot returns the version that a host has in force and, if that is above
-	// known, its encoded table.
+	// FetchSnapshot returns the version that a host has in force and, if that is above known,
+	// its encoded table.
 	FetchSnapshot(ctx context.Context, host string, known int64) (version int64, snapshot []byte, err error)
 }
 
-// askPeers takes the highest version that peers show, from one of those that
-// have it.
+// queryPeers installs the highest version among the peers' answers.
 //
-// All answers are awaited before any is put in force. A host that starts in
-// an outage would otherwise work with the table of whichever peer answers
-// first, which may be older than what the host had before its restart.
-func (follower *Follower) askPeers(ctx context.Context) error {
+// It waits for all answers before it installs a table. Otherwise a host that starts in an
+// outage would use the table of the first peer that answers, which may be older than the one
+// that the host had before its restart.
+func (follower *Follower) queryPeers(ctx context.Context) error {
 	names := follower.choosePeers()
 	sent := follower.Clock.Now()
 	answers := make(chan peerAnswer, len(names))
 	for _, name := range names {
-		go func() { answers <- follower.askPeer(ctx, name, versionOnly) }()
+		go func() { answers <- follower.queryPeer(ctx, name, versionOnly) }()
 	}
-	failures := []error{errors.New("table: no peer confirmed")}
+	failures := []error{errors.New("table: no peer answered")}
 	var newest []peerAnswer
 	for range names {
 		answer := <-answers
@@ -55,19 +54,19 @@
 	if len(newest) == 0 {
 		return errors.Join(failures...)
 	}
-	return follower.takeFromPeers(ctx, newest, sent)
+	return follower.installFromPeers(ctx, newest, sent)
 }
 
-// takeFromPeers gets the table from the first of the peers that gives it.
-func (follower *Follower) takeFromPeers(ctx context.Context, peers []peerAnswer, sent bvclock.Time) error {
-	shown := peers[0].version
+// installFromPeers installs the table from the first peer that returns it.
+func (follower *Follower) installFromPeers(ctx context.Context, peers []peerAnswer, sent bvclock.Time) error {
+	newest := peers[0].version
 	known, _ := follower.VersionInForce()
 	var failures []error
 	for _, peer := range peers {
-		if known >= shown {
+		if known >= newest {
 			break
 		}
-		answer := follower.askPeer(ctx, peer.name, known)
+		answer := follower.queryPeer(ctx, peer.name, known)
 		if answer.table == nil {
 			failures = append(failures, answer.err)
 			continue
@@ -75,10 +74,10 @@
 		follower.install(answer.table)
 		known, _ = follower.VersionInForce()
 	}
-	if known < shown {
-		return fmt.Errorf("table: no peer gave version %d: %w", shown, errors.Join(failures...))
+	if known < newest {
+		return fmt.Errorf("table: no peer returned version %d: %w", newest, errors.Join(failures...))
 	}
-	follower.confirm(shown, sent)
+	follower.confirm(newest, sent)
 	return nil
 }
 
@@ -89,12 +88,12 @@
 	err     error
 }
 
-func (follower *Follower) askPeer(ctx context.Context, name string, known int64) peerAnswer {
+func (follower *Follower) queryPeer(ctx context.Context, name string, known int64) peerAnswer {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout.Std())
 	defer cancel()
 	version, snapshot, err := follower.Peers.FetchSnapshot(ctx, name, known)
 	if err != nil {
-		return peerAnswer{err: fmt.Errorf("table: ask host %s: %w", name, err)}
+		return peerAnswer{err: fmt.Errorf("table: query host %s: %w", name, err)}
 	}
 	answer := peerAnswer{name: name, version: version}
 	if len(snapshot) > 0 {
--- a/bvtable/proposal.go
+++ b/bvtable/proposal.go
@@ -16,7 +16,7 @@
 
 //go:generate stringer -type=ProposalState -linecomment -output=proposalstate_string.go
 
-// ProposalState says what became of a proposal.
+// ProposalState is the state of a proposal.
 type ProposalState int
 
 // The states of a proposal.
@@ -42,14 +42,13 @@
 	return fmt.Errorf("table: unknown state of a proposal %q", text)
 }
 
-// Proposal is a change of shares that waits for the other members' consent.
-// A member that is new in Shares joins; one whose share becomes 0 leaves, and
-// its rows go.
+// Proposal is a change of shares that needs the other members' consent. A member that is new
+// in Shares joins; one whose share becomes 0 leaves, and its rows are removed.
 type Proposal struct {
 	ID       string        `json:"id"`
-	Member   string        `json:"member"` // whose operator proposed it
+	Member   string        `json:"member"` // member whose operator proposed it
 	At       time.Time     `json:"at"`
-	Before   []MemberShare `json:"before"` // in force when it was proposed
+	Before   []MemberShare `json:"before"` // shares in force when the proposal was made
 	Shares   []MemberShare `json:"shares"`
 	Consents []string      `json:"consents,omitempty"` // members, in the order of acceptance
 	State    ProposalState `json:"state"`
@@ -72,8 +71,8 @@
 	return members
 }
 
-// Propose records a change of shares. It takes effect at once when no other
-// member is concerned.
+// Propose records a change of shares. It takes effect immediately when no other member's
+// consent is needed.
 func (editor *Editor) Propose(ctx context.Context, actor Actor, attempt string, shares []MemberShare) (Proposal, Report, error) {
 	started := editor.Follower.Clock.Now()
 	var proposal Proposal
@@ -93,14 +92,14 @@
 	if err != nil {
 		return Proposal{}, Report{}, err
 	}
-	if proposal, err = editor.orEarlier(ctx, proposal, change); err != nil {
+	if proposal, err = editor.resolveProposal(ctx, proposal, change); err != nil {
 		return Proposal{}, Report{}, err
 	}
-	return proposal, editor.announce(ctx, started, change), nil
+	return proposal, editor.pushChange(ctx, started, change), nil
 }
 
-// Accept records the consent of the actor's member. The last consent puts the
-// shares in force.
+// Accept records the consent of the actor's member. The last consent puts the shares in
+// force.
 func (editor *Editor) Accept(ctx context.Context, actor Actor, attempt, id string) (Proposal, Report, error) {
 	started := editor.Follower.Clock.Now()
 	var proposal Proposal
@@ -128,10 +127,10 @@
 	if err != nil {
 		return Proposal{}, Report{}, err
 	}
-	if proposal, err = editor.orEarlier(ctx, proposal, change); err != nil {
+	if proposal, err = editor.resolveProposal(ctx, proposal, change); err != nil {
 		return Proposal{}, Report{}, err
 	}
-	return proposal, editor.announce(ctx, started, change), nil
+	return proposal, editor.pushChange(ctx, started, change), nil
 }
 
 // Proposals returns all proposals, ordered by id.
@@ -144,7 +143,7 @@
 	for after := ""; ; {
 		rows, err := editor.Store.Scan(ctx, proposalPrefix, after, rowsPerScan)
 		if err != nil {
-			return nil, unavailable(err)
+			return nil, unavailableError(err)
 		}
 		for _, row := range rows {
 			proposal, err := decodeProposal(table, row)
@@ -160,9 +159,9 @@
 	}
 }
 
-// orEarlier returns the proposal of the change, when it is one that an earlier
-// sending of the same attempt made.
-func (editor *Editor) orEarlier(ctx context.Context, proposal Proposal, change Change) (Proposal, error) {
+// resolveProposal returns the proposal that the change refers to. That differs from the given
+// one if an earlier send of the same attempt created the change.
+func (editor *Editor) resolveProposal(ctx context.Context, proposal Proposal, change Change) (Proposal, error) {
 	if change.Proposal == "" || change.Proposal == proposal.ID {
 		return proposal, nil
 	}
@@ -173,7 +172,7 @@
 func (editor *Editor) readProposal(ctx context.Context, table *Table, id string) (Proposal, int64, error) {
 	rows, err := editor.Store.Read(ctx, proposalKey(id))
 	if err != nil {
-		return Proposal{}, 0, unavailable(err)
+		return Proposal{}, 0, unavailableError(err)
 	}
 	if rows[0].Version == 0 {
 		return Proposal{}, 0, bvverdict.Refuse(bvverdict.BadRequest, "there is no proposal %s", id)
@@ -182,8 +181,8 @@
 	return proposal, rows[0].Version, err
 }
 
-// decodeProposal also finds out whether the proposal is outdated: members
-// consent to a change from what they saw, not to one from other shares.
+// decodeProposal marks an open proposal as outdated if the shares have changed since: members
+// consent to a change of the shares that they saw.
 func decodeProposal(table *Table, row bvplatform.Row) (Proposal, error) {
 	var proposal Proposal
 	if err := json.Unmarshal(row.Value, &proposal); err != nil {
@@ -231,15 +230,14 @@
 		return bvverdict.Refuse(bvverdict.Forbidden, "%s is neither a member nor in the proposal", actor.Member)
 	}
 	if len(problems) > 0 {
-		return invalid(&InvalidError{Problems: problems})
+		return invalidError(&InvalidError{Problems: problems})
 	}
 	return nil
 }
 
-// proposalDraft records the proposal, and puts its shares in force when no
-// consent is missing any more. The proposal's row, the shares and the counter
-// change in one transaction, so that shares never differ from what the
-// recorded consents allow.
+// proposalDraft records the proposal, and puts its shares in force when no consent is
+// missing. The proposal's row, the shares and the counter change in one transaction, so that
+// the shares always match the recorded consents.
 func proposalDraft(table *Table, proposal *Proposal, version int64, note string) (draft, error) {
 	draft := draft{proposal: proposal.ID, note: note}
 	if len(proposal.MissingConsents()) == 0 {
@@ -248,7 +246,7 @@
 	}
 	content, err := json.Marshal(proposal)
 	if err != nil {
-		return draft, invalid(err)
+		return draft, invalidError(err)
 	}
 	key := proposalKey(proposal.ID)
 	draft.checks = []bvplatform.Check{{Key: key, Version: version}}
@@ -265,7 +263,7 @@
 		case !found && share.Share > 0:
 			cells = append(cells, Cell{Member: share.Member, Column: Presence, Old: Absent, New: Present})
 		case found && share.Share == 0:
-			cells = append(cells, removalOfMember(table, share.Member)...)
+			cells = append(cells, memberRemovalCells(table, share.Member)...)
 			continue
 		}
 		cell := Cell{Member: share.Member, Column: Share, Old: table.CellText(name, Share), New: formatFloat(share.Share)}
@@ -276,11 +274,11 @@
 	return cells
 }
 
-func removalOfMember(table *Table, member string) []Cell {
+func memberRemovalCells(table *Table, member string) []Cell {
 	var cells []Cell
 	for _, row := range table.rows {
 		if row.Member == member {
-			cells = append(cells, removal(table, row.Name())...)
+			cells = append(cells, removalCells(table, row.Name())...)
 		}
 	}
 	return cells
--- a/bvtable/race_test.go
+++ b/bvtable/race_test.go
@@ -19,7 +19,7 @@
 func TestRacingEditsOfDifferentCellsMerge(t *testing.T) {
 	store := &faultyStore{}
 	seed(t, store)
-	store.before = func() {
+	store.beforeCommit = func() {
 		_, err := newEditor(store).Set(t.Context(), piran, set("piran", "booking", Turns, "9"))
 		require.NoError(t, err)
 	}
@@ -36,7 +36,7 @@
 func TestRacingEditsOfOneCellConflict(t *testing.T) {
 	store := &faultyStore{}
 	seed(t, store)
-	store.before = func() {
+	store.beforeCommit = func() {
 		_, err := newEditor(store).Set(t.Context(), piran, set("piran", "booking", Budget, "600"))
 		require.NoError(t, err)
 	}
@@ -47,11 +47,11 @@
 	require.Equal(t, CellConflictError{Row: "piran/booking", Cell: "budget", Expected: "400", Found: "600"}, *conflict)
 }
 
-// Guards against a removal and an edit that undo each other unseen.
+// Guards against a removal that silently discards a concurrent edit.
 func TestRemovalThatMeetsAnEditConflicts(t *testing.T) {
 	store := &faultyStore{}
 	seed(t, store)
-	store.before = func() {
+	store.beforeCommit = func() {
 		_, err := newEditor(store).Set(t.Context(), piran, set("piran", "booking", Budget, "600"))
 		require.NoError(t, err)
 	}
@@ -62,7 +62,7 @@
 func TestEditThatMeetsARemovalConflicts(t *testing.T) {
 	store := &faultyStore{}
 	seed(t, store)
-	store.before = func() {
+	store.beforeCommit = func() {
 		_, err := newEditor(store).Set(t.Context(), piran, set("piran", "booking", Presence, Absent))
 		require.NoError(t, err)
 	}
@@ -70,15 +70,15 @@
 	requireCode(t, bvverdict.Conflict, err)
 }
 
-// Guards against "not run" for an edit that is still under way.
-func TestEditStillUnderWayIsNotSaidToBeRefused(t *testing.T) {
+// Guards against reporting "not run" for an edit whose commit is still in flight.
+func TestEditInFlightIsNotReportedAsRefused(t *testing.T) {
 	store := &faultyStore{}
 	seed(t, store)
 	editor := newEditor(store)
 	_, err := editor.Get(t.Context())
 	require.NoError(t, err)
-	store.next = []fault{delayed}
-	store.readsOK, store.readOuts = 5, 1 // a try reads the counter, the attempt and the rows
+	store.faults = []fault{delayedWrite}
+	store.readsBeforeFault, store.failingReads = 5, 1 // an attempt reads the counter, the attempt's row and the rows
 	_, err = editor.Set(t.Context(), piran, set("piran", "", Budget, "5"))
 	require.Equal(t, bvverdict.MayHaveRun, bvverdict.Of(err), "%v", err)
 	store.applyDelayed()
@@ -87,7 +87,7 @@
 	require.EqualValues(t, 2, table.Version())
 }
 
-// Guards against an edit that counts as new when it is sent again.
+// Guards against applying a resent edit as a new one.
 func TestEditSentAgainIsTheSameEdit(t *testing.T) {
 	store := &bvplatform.Memory{}
 	seed(t, store)
@@ -105,8 +105,8 @@
 	require.Equal(t, "400", editor.Follower.Snapshot().CellText(RowName{"piran", "booking"}, Budget))
 }
 
-// Guards against an accepted edit that a restored store reverts.
-func TestStoreThatWasSetBackRevertsNothing(t *testing.T) {
+// Guards against a store restored from a backup that reverts an accepted edit.
+func TestRestoredStoreRevertsNothing(t *testing.T) {
 	store := &bvplatform.Memory{}
 	seed(t, store)
 	editor := newEditor(store)
@@ -120,7 +120,7 @@
 	require.EqualValues(t, 2, version)
 }
 
-// Guards against an import that reverts what others have changed.
+// Guards against an import that reverts other operators' changes.
 func TestImportRevertsNothingThatOthersChanged(t *testing.T) {
 	store := &bvplatform.Memory{}
 	seed(t, store)
@@ -139,16 +139,16 @@
 	row, _ := editor.Follower.Snapshot().Row("piran", "booking")
 	require.Equal(t, 12, row.Turns)
 	require.EqualValues(t, 450, row.Budget)
-	require.Equal(t, 4, editor.Follower.Snapshot().Len(), "rivals' hidden rows are no rows that the CSV lacks")
+	require.Equal(t, 4, editor.Follower.Snapshot().Len(), "an import must not remove hidden rows of other members")
 }
 
-// hostsThat confirm, but for the frozen ones.
-type hostsThat struct {
+// fakeHosts confirm changes, except the frozen host, which doesn't answer.
+type fakeHosts struct {
 	followers map[string]*Follower
 	frozen    string
 }
 
-func (hosts hostsThat) Confirm(ctx context.Context, host string, version int64, changes []Change) (int64, error) {
+func (hosts fakeHosts) Confirm(ctx context.Context, host string, version int64, changes []Change) (int64, error) {
 	if host == hosts.frozen {
 		<-ctx.Done()
 		return 0, ctx.Err()
@@ -156,11 +156,11 @@
 	return hosts.followers[host].ApplyCommitted(ctx, version, changes)
 }
 
-// consortium returns an editor on host-0 and the hosts that follow.
-func consortium(t *testing.T, count int) (*Editor, *hostsThat) {
+// consortium returns an editor on host-0 and the given number of hosts, host-0 included.
+func consortium(t *testing.T, count int) (*Editor, *fakeHosts) {
 	memory := &bvplatform.Memory{}
 	seed(t, memory)
-	hosts := &hostsThat{followers: map[string]*Follower{}}
+	hosts := &fakeHosts{followers: map[string]*Follower{}}
 	for i := range count {
 		require.NoError(t, memory.Announce(t.Context(), bvplatform.Host{Name: hostName(i)}))
 		follower := &Follower{Store: memory, Clock: &bvclock.Manual{}}
@@ -193,7 +193,7 @@
 	}
 }
 
-// Guards against a lagging host that counts up without the change.
+// Guards against a lagging host that advances its version without the version's cells.
 func TestEditThatChangesNothingDoesNotAdvanceALaggingHost(t *testing.T) {
 	editor, hosts := consortium(t, 2)
 	hosts.frozen = hostName(1)
@@ -208,11 +208,11 @@
 	require.Equal(t, "500", hosts.followers[hostName(1)].Snapshot().CellText(RowName{"piran", "booking"}, Budget))
 }
 
-// Guards against a host that starts with the first answer in place of the newest.
+// Guards against a starting host that uses the first answer instead of the newest one.
 func TestHostThatStartsInAnOutageTakesTheHighestOfAllPeers(t *testing.T) {
 	peers := slowPeers{"fast": tableOf(5, 50), "slow": tableOf(7, 70), "none": nil}
 	synctest.Test(t, func(t *testing.T) {
-		follower := &Follower{Store: &faultyStore{out: true}, Peers: peers, Clock: &bvclock.Manual{}}
+		follower := &Follower{Store: &faultyStore{unavailable: true}, Peers: peers, Clock: &bvclock.Manual{}}
 		require.NoError(t, follower.Poll(t.Context()))
 		table, err := follower.Current()
 		require.NoError(t, err)
@@ -238,8 +238,8 @@
 	return follower.SnapshotNewerThan(known)
 }
 
-// Guards against a restarted host that follows a store which was set back.
-func TestHostThatRestartsBesideAStoreThatWasSetBackRevertsNothing(t *testing.T) {
+// Guards against a restarted host that follows a store restored from an older backup.
+func TestHostThatRestartsWithARestoredStoreRevertsNothing(t *testing.T) {
 	backup := &bvplatform.Memory{}
 	seed(t, backup)
 	follower := &Follower{Store: backup, Peers: slowPeers{"fast": tableOf(7, 70), "slow": tableOf(7, 70), "none": tableOf(6, 60)}, Clock: &bvclock.Manual{}}
@@ -250,19 +250,19 @@
 }
 
 func TestHostThatReachesNobodyAdmitsNothing(t *testing.T) {
-	follower := &Follower{Store: &faultyStore{out: true}, Clock: &bvclock.Manual{}}
+	follower := &Follower{Store: &faultyStore{unavailable: true}, Clock: &bvclock.Manual{}}
 	require.Error(t, follower.Poll(t.Context()))
 	_, err := follower.Current()
 	require.Equal(t, bvverdict.NotRun, bvverdict.Of(err))
 	requireCode(t, bvverdict.PlatformUnavailable, err)
 }
 
-// Guards against changes that pile up in the store.
-func TestOldChangesGoWithTheNewOnes(t *testing.T) {
+// Guards against changes that accumulate in the store.
+func TestOldChangesAreDeletedWithNewOnes(t *testing.T) {
 	store := &bvplatform.Memory{}
 	seed(t, store)
 	_, err := store.Commit(t.Context(), bvplatform.Transaction{
-		Puts: []bvplatform.Put{{Key: versionKey, Value: encodeVersion(changesKept)}},
+		Puts: []bvplatform.Put{{Key: versionKey, Value: encodeVersion(changesRetained)}},
 	})
 	require.NoError(t, err)
 	writes, _ := store.Counts()
@@ -273,7 +273,7 @@
 	rows, err := store.Scan(t.Context(), changePrefix, "", 10)
 	require.NoError(t, err)
 	require.Len(t, rows, 1)
-	require.Equal(t, changeKey(changesKept+1), rows[0].Key)
+	require.Equal(t, changeKey(changesRetained+1), rows[0].Key)
 	rows, err = store.Scan(t.Context(), attemptPrefix, "", 10)
 	require.NoError(t, err)
 	require.Len(t, rows, 1)
--- a/bvtable/report.go
+++ b/bvtable/report.go
@@ -12,31 +12,31 @@
 )
 
 const (
-	// confirmLimit bounds the wait for confirmations, so that the operator has
-	// the report within MaxConfirmAge of the edit.
-	confirmLimit = 3500 * bvclock.Millisecond
-	// confirmPause is the wait before a host that didn't confirm is asked again.
-	confirmPause = 200 * bvclock.Millisecond
+	// confirmTimeout bounds the wait for confirmations, so that the operator gets the report
+	// within MaxConfirmAge of the edit.
+	confirmTimeout = 3500 * bvclock.Millisecond
+	// confirmRetryInterval is the wait before another request to a host that didn't confirm.
+	confirmRetryInterval = 200 * bvclock.Millisecond
 )
 
-// Confirmer brings changes to another host.
+// Confirmer sends changes to another host.
 type Confirmer interface {
-	// Confirm gives a host the changes that lead up to a version and returns
-	// the version that the host then has in force.
+	// Confirm sends a host the changes that lead up to a version and returns the version that
+	// the host then has in force.
 	Confirm(ctx context.Context, host string, version int64, changes []Change) (int64, error)
 }
 
-// Report tells where a version is in force.
+// Report states on which hosts a version is in force.
 type Report struct {
 	Version     int64            `json:"version"`
-	Changed     bool             `json:"changed"`               // false: the cells held the texts already
+	Changed     bool             `json:"changed"`               // false: the cells already held the new texts
 	Hosts       int              `json:"hosts"`                 // live hosts on the platform's list
-	Unconfirmed []string         `json:"unconfirmed,omitempty"` // those that didn't confirm in time
+	Unconfirmed []string         `json:"unconfirmed,omitempty"` // hosts that didn't confirm in time
 	Unlisted    bool             `json:"unlisted,omitempty"`    // the list of hosts couldn't be read
 	Elapsed     bvclock.Duration `json:"elapsed_ms"`            // since the edit arrived
 }
 
-// String formats the report in a line for an operator.
+// String formats the report as one line for an operator.
 func (report Report) String() string {
 	if report.Unlisted {
 		return fmt.Sprintf("version %d accepted; the list of hosts can't be read, so nothing is known of them", report.Version)
@@ -49,15 +49,15 @@
 		strings.Join(report.Unconfirmed, ", "))
 }
 
-// announce brings an accepted change to all live hosts and waits, at most
-// confirmLimit, until each has it in force. The change is accepted whatever
-// the hosts answer; their polls would bring it too.
-func (editor *Editor) announce(ctx context.Context, started bvclock.Time, change Change) Report {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), confirmLimit.Std())
+// pushChange sends an accepted change to all live hosts and waits, at most confirmTimeout,
+// until each has it in force. The change stays accepted whatever the hosts answer; a host
+// that the push doesn't reach gets the change with its next poll.
+func (editor *Editor) pushChange(ctx context.Context, started bvclock.Time, change Change) Report {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), confirmTimeout.Std())
 	defer cancel()
 	report := Report{Version: change.Version, Changed: change.Attempt != ""}
-	// An edit that changed nothing has no change to bring: a host that lags
-	// would take an empty one for the version and miss what that holds.
+	// For an edit that changed nothing, no change is sent: a host that lags would apply an
+	// empty change as that version and miss the version's cells.
 	var changes []Change
 	if report.Changed {
 		changes = []Change{change}
@@ -96,21 +96,22 @@
 	return names, nil
 }
 
-// confirmHost returns the host's name if it didn't confirm in time.
+// confirmHost requests confirmation until the host confirms or the context ends. It returns
+// the host's name if the host didn't confirm, else an empty string.
 func (editor *Editor) confirmHost(ctx context.Context, host string, version int64, changes []Change) string {
 	for {
-		if editor.askHost(ctx, host, version, changes) {
+		if editor.requestConfirmation(ctx, host, version, changes) {
 			return ""
 		}
 		select {
 		case <-ctx.Done():
 			return host
-		case <-time.After(confirmPause.Std()):
+		case <-time.After(confirmRetryInterval.Std()):
 		}
 	}
 }
 
-func (editor *Editor) askHost(ctx context.Context, host string, version int64, changes []Change) bool {
+func (editor *Editor) requestConfirmation(ctx context.Context, host string, version int64, changes []Change) bool {
 	if host == editor.Host {
 		inForce, _ := editor.Follower.VersionInForce()
 		return inForce >= version
--- a/bvtable/row.go
+++ b/bvtable/row.go
@@ -6,18 +6,18 @@
 	"balsamvalve.example/bvclock"
 )
 
-// Row is one row of the operators' table: a member, or one class of its
-// programs. The class of a member's own row is empty.
+// Row is one row of the operators' table, for a member or for one class of its programs. The
+// class of a member's own row is empty.
 type Row struct {
 	Member      string           `json:"member"`
 	Class       string           `json:"class,omitempty"`
 	Share       float64          `json:"share,omitempty"`       // percent of engine work; only on a member's own row
-	Priority    int              `json:"priority,omitempty"`    // within the member; higher goes first
+	Priority    int              `json:"priority,omitempty"`    // within the member; the highest runs first
 	Rate        float64          `json:"rate,omitempty"`        // calls a second; 0: unbounded
-	Concurrency int              `json:"concurrency,omitempty"` // calls at once; 0: unbounded
+	Concurrency int              `json:"concurrency,omitempty"` // concurrent calls; 0: unbounded
 	Budget      int64            `json:"budget,omitempty"`      // work units per program; 0: unbounded
 	Turns       int              `json:"turns,omitempty"`       // calls per program; 0: unbounded
-	Idle        bvclock.Duration `json:"idle,omitempty"`        // in milliseconds, before a program counts as lost; 0: unbounded
+	Idle        bvclock.Duration `json:"idle,omitempty"`        // in milliseconds, after which a program counts as lost; 0: unbounded
 	Models      []string         `json:"models,omitempty"`      // allowed models; empty: all
 	Services    []string         `json:"services,omitempty"`    // allowed services; empty: all
 }
@@ -33,7 +33,7 @@
 	return RowName{Member: row.Member, Class: row.Class}
 }
 
-// ParseRowName reads the form that String writes.
+// ParseRowName parses the output of String.
 func ParseRowName(text string) RowName {
 	member, class, _ := strings.Cut(text, "/")
 	return RowName{Member: member, Class: class}
--- a/bvtable/rule.go
+++ b/bvtable/rule.go
@@ -10,11 +10,11 @@
 	"balsamvalve.example/bvclock"
 )
 
-// ShareTotal is what the members' shares add up to.
+// ShareTotal is the required sum of the members' shares, in percent.
 const ShareTotal = 100
 
-// shareTolerance allows for decimal fractions such as 33.33 that have no
-// exact binary form.
+// shareTolerance allows for decimal fractions such as 33.33 that have no exact binary
+// representation.
 const shareTolerance = 1e-6
 
 // Limits of a cell's value.
@@ -24,23 +24,23 @@
 	maxName     = 100 // characters of a member or class
 )
 
-// namePattern keeps slashes out of names, since they separate the parts of a
-// row's key in the store, and blanks, since they separate list entries.
+// namePattern excludes slashes, which separate the parts of a row's key in the store, and
+// spaces, which separate list entries.
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
 
-// Problem is a rule that a cell breaks.
+// Problem describes a cell that breaks a rule.
 type Problem struct {
 	Row    string `json:"row"`  // member, or member/class
 	Cell   string `json:"cell"` // name of the column
 	Reason string `json:"reason"`
 }
 
-// String formats the problem in a line.
+// String formats the problem as one line.
 func (problem Problem) String() string {
 	return fmt.Sprintf("row %s, cell %s: %s", problem.Row, problem.Cell, problem.Reason)
 }
 
-// InvalidError lists every rule that a table or an edit breaks.
+// InvalidError lists every problem of a table or an edit.
 type InvalidError struct {
 	Problems []Problem
 }
@@ -54,17 +54,17 @@
 	return strings.Join(lines, "; ")
 }
 
-// Catalog lists the models and services that the platform shows. An empty list
-// means that nothing is known, and checks nothing.
+// Catalog lists the models and services on the platform's list of endpoints. An empty list
+// means that they are unknown, and disables the check.
 type Catalog struct {
 	Models   []string
 	Services []string
 }
 
-// Validate checks whole rows, each by itself and all together. It returns an
-// *InvalidError that names every bad cell, or nil.
-func Validate(rows []Row, known Catalog) error {
-	validation := validation{known: known}
+// Validate checks each row and the rules that span rows. It returns an *InvalidError that
+// names every invalid cell, or nil.
+func Validate(rows []Row, catalog Catalog) error {
+	validation := validation{catalog: catalog}
 	for i := range rows {
 		validation.checkRow(&rows[i])
 	}
@@ -77,7 +77,7 @@
 }
 
 type validation struct {
-	known    Catalog
+	catalog  Catalog
 	problems []Problem
 }
 
@@ -104,8 +104,8 @@
 	if row.Class != "" && row.Share != 0 {
 		validation.report(row.Name(), Share, "only a member's own row has a share, not a class")
 	}
-	validation.checkKnown(row.Name(), Models, "model", row.Models, validation.known.Models)
-	validation.checkKnown(row.Name(), Services, "service", row.Services, validation.known.Services)
+	validation.checkKnown(row.Name(), Models, "model", row.Models, validation.catalog.Models)
+	validation.checkKnown(row.Name(), Services, "service", row.Services, validation.catalog.Services)
 }
 
 func (validation *validation) checkNotNegative(row *Row, column Column, value float64) {
--- a/bvtable/state.go
+++ b/bvtable/state.go
@@ -5,20 +5,18 @@
 	"balsamvalve.example/bvverdict"
 )
 
-// MaxConfirmAge is how long a host may work without anybody confirming its
-// version.
+// MaxConfirmAge is the time after its last confirmation for which a host may admit new work.
 const MaxConfirmAge = 4 * bvclock.Second
 
-// retryUnconfirmed is when a refused caller may find the host confirmed.
+// retryUnconfirmed is the retry time given to callers that an unconfirmed host refuses.
 const retryUnconfirmed = bvclock.Second
 
-// State is what one host knows of the table. It does no input or output and
-// reads no clock, so that tests can run it step by step. The zero value knows
-// nothing and admits nothing.
+// State is one host's state of the table. It does no input or output and reads no clock, so
+// that tests can run it step by step. The zero value has no table and admits nothing.
 type State struct {
-	table     *Table
-	confirmed bvclock.Time
-	ever      bool // confirmed is set
+	table           *Table
+	confirmedAt     bvclock.Time
+	hasConfirmation bool // confirmedAt is set
 }
 
 // Version returns the version in force; 0 before the first table.
@@ -29,12 +27,12 @@
 	return state.table.version
 }
 
-// HasTable reports whether the host has a table at all.
+// HasTable reports whether the host has a table.
 func (state *State) HasTable() bool { return state.table != nil }
 
-// Apply puts changes in force that follow the version in force, and skips all
-// others: an older one must not set back, and after a gap the table would
-// miss a change for good.
+// Apply puts changes in force that directly follow the version in force, and skips all
+// others: an older change would revert newer ones, and after a gap the table would miss a
+// change permanently.
 func (state *State) Apply(changes []Change) error {
 	for _, change := range changes {
 		if state.table == nil || change.Version != state.table.version+1 {
@@ -49,39 +47,39 @@
 	return nil
 }
 
-// Install puts a whole table in force if it is newer.
+// Install puts a table in force if it is newer.
 func (state *State) Install(table *Table) {
 	if state.table == nil || table.version > state.table.version {
 		state.table = table
 	}
 }
 
-// Confirm notes that at the given time somebody showed shown as the newest
-// version. A host that is behind it is not confirmed by that.
+// Confirm records that the store or a peer reported newest as the newest version. It has no
+// effect while the version in force is lower.
 //
-// The time must be the one at which the question was sent: the answer may
-// have waited on the way, and speaks for no later moment.
-func (state *State) Confirm(shown int64, sent bvclock.Time) {
-	if state.table == nil || state.table.version < shown {
+// The time must be the one at which the request was sent: the answer may have been delayed,
+// and does not confirm the version for any later time.
+func (state *State) Confirm(newest int64, sent bvclock.Time) {
+	if state.table == nil || state.table.version < newest {
 		return
 	}
-	if !state.ever || sent.After(state.confirmed) {
-		state.confirmed = sent
+	if !state.hasConfirmation || sent.After(state.confirmedAt) {
+		state.confirmedAt = sent
 	}
-	state.ever = true
+	state.hasConfirmation = true
 }
 
-// Current returns the table in force. A host that nobody has confirmed for
-// MaxConfirmAge refuses new work: the store and all peers are out of its
-// reach, or it was paused, and meanwhile an edit may have been accepted
-// elsewhere that it would act against. The clock counts suspended time, so a
-// host that wakes up is refused before it has run anything.
+// Current returns the table in force. A host without a confirmation for more than
+// MaxConfirmAge refuses new work: the store and all peers are unreachable, or the host was
+// suspended, and meanwhile another host may have accepted an edit that this host would
+// violate. The clock counts suspended time, so a host that resumes refuses new work until it
+// is confirmed again.
 func (state *State) Current(now bvclock.Time) (*Table, error) {
-	if state.table == nil || !state.ever {
+	if state.table == nil || !state.hasConfirmation {
 		return nil, bvverdict.Refuse(bvverdict.PlatformUnavailable,
 			"this host has no confirmed table yet").WithRetryAfter(retryUnconfirmed)
 	}
-	if age := now.Sub(state.confirmed); age > MaxConfirmAge {
+	if age := now.Sub(state.confirmedAt); age > MaxConfirmAge {
 		return nil, bvverdict.Refuse(bvverdict.PlatformUnavailable,
 			"version %d of the table was last confirmed %v ago", state.table.version, age.Std()).
 			WithRetryAfter(retryUnconfirmed)
--- a/bvtable/state_test.go
+++ b/bvtable/state_test.go
@@ -23,7 +23,7 @@
 	require.Equal(t, "70", state.table.CellText(RowName{Member: "piran"}, Budget))
 }
 
-// Guards against a version that is put in force without the one before.
+// Guards against putting a version in force without its predecessor.
 func TestStateSkipsAChangeAfterAGap(t *testing.T) {
 	state := &State{}
 	state.Install(tableOf(7, 70))
@@ -31,7 +31,7 @@
 	require.EqualValues(t, 7, state.Version())
 }
 
-// Guards against a suspended host that admits work by an old table.
+// Guards against a resumed host that admits work under an old table.
 func TestHostThatWakesUpRefusesNewWorkUntilConfirmed(t *testing.T) {
 	clock := &bvclock.Manual{}
 	state := &State{}
@@ -53,7 +53,8 @@
 	require.Error(t, err)
 }
 
-// Guards against a young clock on which everything seems to be confirmed.
+// Guards against treating a table as confirmed because the clock is less than MaxConfirmAge
+// after zero.
 func TestFreshClockConfirmsNothing(t *testing.T) {
 	state := &State{}
 	state.Install(tableOf(7, 70))
--- a/bvtable/storage.go
+++ b/bvtable/storage.go
@@ -23,14 +23,14 @@
 const (
 	changesPerRead = 100
 	rowsPerScan    = 500
-	// maxReplay is the number of changes from which on a scan of all rows
-	// takes fewer reads than the changes.
+	// maxReplay is the number of changes above which a scan of all rows takes fewer reads than
+	// the changes.
 	maxReplay = 2000
 )
 
-// changesKept is the number of versions whose Change stays in the store: a
-// week at 14,000 changes a day.
-const changesKept = 100_000
+// changesRetained is the number of versions whose Change stays in the store: a week at 14,000
+// changes a day.
+const changesRetained = 100_000
 
 func rowKey(name RowName) string {
 	return rowPrefix + name.Member + "/" + name.Class
@@ -53,7 +53,7 @@
 	store bvplatform.Store
 }
 
-// version reads the counter: the one small read that a poll costs.
+// version reads the version counter. A poll that finds no newer version reads nothing else.
 func (storage storage) version(ctx context.Context) (int64, error) {
 	rows, err := storage.store.Read(ctx, versionKey)
 	if err != nil {
@@ -77,8 +77,8 @@
 	return strconv.AppendInt(nil, version, 10)
 }
 
-// changes reads the changes of versions from to last, without gaps. It
-// returns fewer when the first ones are no longer kept.
+// changes reads the changes of versions first to last. It returns fewer when the oldest of
+// them are no longer retained.
 func (storage storage) changes(ctx context.Context, first, last int64) ([]Change, error) {
 	var changes []Change
 	for start := first; start <= last; start += changesPerRead {
@@ -117,11 +117,10 @@
 
 // scan reads the whole table.
 //
-// Edits may commit while the pages are read, so that the rows stem from
-// different versions. The counter is read before and after, and the changes
-// between are replayed: each sets its cells whatever they hold, so rows that
-// had them already end the same, and the result is the table of the later
-// version exactly.
+// Edits may commit while the pages are read, so that the rows belong to different versions.
+// The counter is read before and after the scan, and the changes between the two versions are
+// replayed. Replay is idempotent, because a change sets its cells whatever they hold, so the
+// result is exactly the table of the later version.
 func (storage storage) scan(ctx context.Context) (*Table, error) {
 	before, err := storage.version(ctx)
 	if err != nil {
@@ -140,7 +139,7 @@
 		return nil, err
 	}
 	if int64(len(changes)) != after-before {
-		return nil, fmt.Errorf("table: changes of versions %d to %d are not all kept", before+1, after)
+		return nil, fmt.Errorf("table: changes of versions %d to %d are no longer all in the store", before+1, after)
 	}
 	table := NewTable(before, rows)
 	for _, change := range changes {
@@ -173,8 +172,7 @@
 	}
 }
 
-// history returns changes from the newest to the oldest, below the given
-// version.
+// history returns changes below the given version, newest first.
 func (storage storage) history(ctx context.Context, below int64, limit int) ([]Change, error) {
 	first := max(below-int64(limit), 1)
 	changes, err := storage.changes(ctx, first, below-1)
--- a/bvtable/table.go
+++ b/bvtable/table.go
@@ -1,10 +1,10 @@
-// Package bvtable is the operators' table: rows with each member's share,
-// priorities and limits, one version counter over all of them, the rules that
-// an edit must keep, and the consent that a change of shares needs.
+// Package bvtable implements the operators' table: rows with each member's share, priorities
+// and limits, one version counter for all rows, the validation of edits, and the consent that
+// a change of shares needs.
 //
-// What lasts stands in the platform's store: the version counter, the rows,
-// and a Change for each version. An Editor writes a new version in one
-// conditional transaction. A Follower keeps the newest Table on a host.
+// The version counter, the rows, and a Change for each version are stored in the platform's
+// store. An Editor writes a new version in one conditional transaction. A Follower keeps a
+// host's copy of the newest Table.
 //
 // # Usage
 //
@@ -23,14 +23,14 @@
 	"slices"
 )
 
-// Table is the table at one version. It is never changed, so that it can be
-// read without locks; the zero value is the empty table of version 0.
+// Table is the table at one version. It is immutable, so that it can be read without locks.
+// The zero value is the empty table of version 0.
 type Table struct {
 	version int64
 	rows    []*Row // ordered by name
 }
 
-// NewTable returns a table of the given rows; rows are copied.
+// NewTable returns a table with copies of the given rows.
 func NewTable(version int64, rows []Row) *Table {
 	table := &Table{version: version}
 	for _, row := range rows {
@@ -40,14 +40,14 @@
 	return table
 }
 
-// Version returns the table's version; it rises by one with each change.
+// Version returns the table's version, which increases by one with each change.
 func (table *Table) Version() int64 { return table.version }
 
 // Len returns the number of rows.
 func (table *Table) Len() int { return len(table.rows) }
 
-// Row returns the row of a class of programs; the member's own row stands for
-// a class that has none. The row's lists must not be changed.
+// Row returns the row of a class of programs, or the member's own row if the class has none.
+// The row's lists must not be changed.
 func (table *Table) Row(member, class string) (Row, bool) {
 	if row, found := table.ExactRow(RowName{Member: member, Class: class}); found {
 		return row, true
@@ -55,7 +55,7 @@
 	return table.ExactRow(RowName{Member: member})
 }
 
-// ExactRow returns the row of that very name.
+// ExactRow returns the row with exactly the given name.
 func (table *Table) ExactRow(name RowName) (Row, bool) {
 	i, found := table.find(name)
 	if !found {
@@ -90,8 +90,8 @@
 	return shares
 }
 
-// CellText returns the text of a cell; a row that isn't there reads as one
-// with zero values, but for its Presence.
+// CellText returns the text of a cell. The cells of a missing row are those of a zero row,
+// except Presence, which is Absent.
 func (table *Table) CellText(name RowName, column Column) string {
 	row, found := table.ExactRow(name)
 	if !found && column == Presence {
@@ -100,9 +100,9 @@
 	return row.Cell(column)
 }
 
-// With returns the table after a change. Cells are set without regard to
-// their old texts, so that changes may be replayed over rows that hold some
-// of them already. A cell of an absent row makes the row.
+// With returns the table after a change. Cells are set without regard to their old texts, so
+// that changes can be replayed over rows that already contain some of them. Setting a cell of
+// a missing row creates the row.
 func (table *Table) With(change Change) (*Table, error) {
 	next := &Table{version: change.Version, rows: slices.Clone(table.rows)}
 	for _, cell := range change.Cells {
@@ -140,7 +140,7 @@
 	return row.SetCell(cell.Column, cell.New)
 }
 
-// Encode returns the table as bytes, for another host.
+// Encode serializes the table for another host.
 func (table *Table) Encode() ([]byte, error) {
 	content, err := json.Marshal(struct {
 		Version int64  `json:"version"`
@@ -152,7 +152,7 @@
 	return content, nil
 }
 
-// Decode reads what Encode wrote.
+// Decode parses the output of Encode.
 func Decode(content []byte) (*Table, error) {
 	var body struct {
 		Version int64 `json:"version"`
--- a/bvtable/view.go
+++ b/bvtable/view.go
@@ -1,9 +1,8 @@
 package bvtable
 
-// View returns the rows that a member's operators may see: their own whole,
-// and of the others only the member's row with its share, which all need to
-// agree on. Rivals' classes, limits, budgets and models tell of their
-// business and stay hidden.
+// View returns the rows that a member's operators may see: all of their own, and for each
+// other member its row with the share only, since all members must agree on the shares. Other
+// members' classes, limits, budgets and models reveal their business and are hidden.
 func (table *Table) View(member string) []Row {
 	var rows []Row
 	for _, row := range table.rows {
@@ -17,9 +16,9 @@
 	return rows
 }
 
-// VisibleTo returns the change as a member's operators may see it, and
-// whether they may see it at all: of rivals' edits only those of shares and of
-// membership.
+// VisibleTo returns the part of a change that a member's operators may see, and whether they
+// may see the change at all. Of other members' edits, only changes of shares and of
+// membership are visible.
 func (change Change) VisibleTo(member string) (Change, bool) {
 	own := change.Actor.Member == member
 	if !own {
--- a/bvtable/writing.go
+++ b/bvtable/writing.go
@@ -13,7 +13,7 @@
 	"balsamvalve.example/bvverdict"
 )
 
-// write plans and commits until the change is accepted or refused.
+// write plans and commits a change, and retries until it is accepted or refused.
 func (editor *Editor) write(ctx context.Context, actor Actor, attempt string, plan planner) (Change, error) {
 	ctx, cancel := context.WithTimeout(ctx, editTimeout.Std())
 	defer cancel()
@@ -23,15 +23,15 @@
 	if !validName(attempt) {
 		return Change{}, bvverdict.Refuse(bvverdict.BadRequest, "attempt %q is not a plain word", attempt)
 	}
-	writing := &writing{editor: editor, actor: actor, attempt: attempt, plan: plan}
+	writer := &editWriter{editor: editor, actor: actor, attempt: attempt, plan: plan}
 	for tries := 0; ; tries++ {
-		change, accepted, err := writing.try(ctx)
+		change, accepted, err := writer.writeOnce(ctx)
 		if err == nil && !accepted && editor.wait(ctx, tries) != nil {
 			err = bvverdict.Refuse(bvverdict.Overloaded, "lost every race against other edits; nothing was changed").
 				WithRetryAfter(bvclock.Second)
 		}
 		if err != nil {
-			return Change{}, writing.verdict(err)
+			return Change{}, writer.verdict(err)
 		}
 		if accepted {
 			return change, nil
@@ -39,122 +39,121 @@
 	}
 }
 
-// writing is one edit on its way to a version.
-type writing struct {
-	editor  *Editor
-	actor   Actor
-	attempt string
-	plan    planner
-	unknown int64 // version that a commit of unknown outcome would make; 0: none
+// editWriter writes one edit as a version of the table.
+type editWriter struct {
+	editor         *Editor
+	actor          Actor
+	attempt        string
+	plan           planner
+	unknownVersion int64 // version that a commit of unknown outcome would create; 0: none
 }
 
-// try makes one version, unless another edit makes it first.
-func (writing *writing) try(ctx context.Context) (change Change, accepted bool, err error) {
-	table, err := writing.editor.Get(ctx)
+// writeOnce attempts to create the next version. It reports false if another edit may have
+// created that version first, or if the outcome of the commit is unknown.
+func (writer *editWriter) writeOnce(ctx context.Context) (change Change, accepted bool, err error) {
+	table, err := writer.editor.Get(ctx)
 	if err != nil {
 		return Change{}, false, err
 	}
-	earlier, found, err := writing.earlier(ctx, table)
+	earlier, found, err := writer.findEarlier(ctx, table)
 	if err != nil || found {
 		return earlier, found, err
 	}
-	draft, err := writing.plan(ctx, table)
+	draft, err := writer.plan(ctx, table)
 	if err != nil {
 		return Change{}, false, err
 	}
-	if draft.empty() {
+	if draft.isEmpty() {
 		return Change{Version: table.version}, true, nil
 	}
 	change = Change{
 		Version:  table.version + 1,
-		Actor:    writing.actor,
+		Actor:    writer.actor,
 		At:       time.Now().UTC(),
-		Attempt:  writing.attempt,
+		Attempt:  writer.attempt,
 		Proposal: draft.proposal,
 		Note:     draft.note,
 		Cells:    draft.cells,
 	}
 	next, err := table.With(change)
 	if err != nil {
-		return Change{}, false, invalid(err)
+		return Change{}, false, invalidError(err)
 	}
-	if err := writing.editor.validate(ctx, next, change); err != nil {
+	if err := writer.editor.validate(ctx, next, change); err != nil {
 		return Change{}, false, err
 	}
-	transaction, current, err := writing.editor.transaction(ctx, next, change, draft)
+	transaction, current, err := writer.editor.transaction(ctx, next, change, draft)
 	if err != nil || !current {
 		return Change{}, false, err
 	}
-	if accepted, err = writing.commit(ctx, transaction, change.Version); err != nil || !accepted {
+	if accepted, err = writer.commit(ctx, transaction, change.Version); err != nil || !accepted {
 		return Change{}, false, err
 	}
-	return change, true, writing.editor.Follower.apply([]Change{change})
+	return change, true, writer.editor.Follower.apply([]Change{change})
 }
 
-// commit reports whether the transaction is known to have made the version.
+// commit reports whether the transaction is known to have created the version.
 //
-// The store's answer can be lost after the write took effect, or before, or
-// while it is still under way. The next try tells: the attempt's row is there
-// if it took effect, and if it is still under way, both transactions are
-// conditional on the same counter, so that one takes effect at most.
-func (writing *writing) commit(ctx context.Context, transaction bvplatform.Transaction, version int64) (bool, error) {
-	_, err := writing.editor.Store.Commit(ctx, transaction)
+// The store's answer can be lost after the write took effect, before it did, or while it is
+// still in flight. The next attempt resolves this: if the write took effect, the attempt's row
+// exists; if it is still in flight, both transactions are conditional on the same counter, so
+// that at most one takes effect.
+func (writer *editWriter) commit(ctx context.Context, transaction bvplatform.Transaction, version int64) (bool, error) {
+	_, err := writer.editor.Store.Commit(ctx, transaction)
 	if err == nil {
 		return true, nil
 	}
 	if errors.Is(err, bvplatform.ErrUnknown) {
-		writing.unknown = version
+		writer.unknownVersion = version
 		return false, nil
 	}
 	var conflict *bvplatform.ConflictError
 	if errors.As(err, &conflict) {
 		return false, nil
 	}
-	return false, unavailable(err)
+	return false, unavailableError(err)
 }
 
-// verdict keeps an error from saying that the edit was not accepted while a
-// commit of it may still take effect.
-func (writing *writing) verdict(err error) error {
-	if writing.unknown == 0 {
+// verdict turns an error into MayHaveRun while a commit of the edit may still take effect.
+func (writer *editWriter) verdict(err error) error {
+	if writer.unknownVersion == 0 {
 		return err
 	}
 	return bvverdict.New(bvverdict.MayHaveRun, bvverdict.PlatformUnavailable,
-		"the platform didn't tell whether the edit was accepted; see the table's history, or send it again as attempt %s",
-		writing.attempt).WithCause(err)
+		"the platform did not confirm whether the edit was accepted; see the table's history, or send it again as attempt %s",
+		writer.attempt).WithCause(err)
 }
 
-// earlier returns the change of an attempt that was accepted before.
+// findEarlier returns the change of an attempt that was accepted before.
 //
-// An operator whose answer was lost on the way from a host sends the edit
-// again. Run twice, it would set back what others changed in between, also
-// when the cell happens to hold the expected text again. The attempt's row is
-// written in the transaction of the change. Of two copies at once only one is
-// accepted, because the row is looked up after the table was read, and the
-// commit is conditional on that table still being the newest.
+// An operator that loses the answer to an edit sends the edit again. Applied twice, it would
+// revert changes made in between, even when the cell happens to hold the expected text again.
+// The attempt's row is written in the transaction of the change. Of two concurrent copies only
+// one is accepted, because the row is looked up after the table was read, and the commit is
+// conditional on that table still being the newest.
 //
-// A commit of unknown outcome is known to be lost when the attempt has no row
-// although the counter has passed the version that it would have made: the
-// table was read before the row, and the commit is conditional on the counter.
-func (writing *writing) earlier(ctx context.Context, table *Table) (Change, bool, error) {
-	store := writing.editor.Store
-	rows, err := store.Read(ctx, attemptKey(writing.actor, writing.attempt))
+// A commit of unknown outcome is known to have failed when the attempt has no row although the
+// counter has reached the version that the commit would have created: the table was read
+// before the row, and the commit is conditional on the counter.
+func (writer *editWriter) findEarlier(ctx context.Context, table *Table) (Change, bool, error) {
+	store := writer.editor.Store
+	rows, err := store.Read(ctx, attemptKey(writer.actor, writer.attempt))
 	if err != nil {
-		return Change{}, false, unavailable(err)
+		return Change{}, false, unavailableError(err)
 	}
 	if rows[0].Version == 0 {
-		if table.version >= writing.unknown {
-			writing.unknown = 0
+		if table.version >= writer.unknownVersion {
+			writer.unknownVersion = 0
 		}
 		return Change{}, false, nil
 	}
 	version, err := decodeVersion(rows[0])
 	if err != nil {
-		return Change{}, false, unavailable(err)
+		return Change{}, false, unavailableError(err)
 	}
 	changes, err := storage{store}.changes(ctx, version, version)
 	if err != nil {
-		return Change{}, false, unavailable(err)
+		return Change{}, false, unavailableError(err)
 	}
 	if len(changes) == 0 {
 		return Change{Version: version}, true, nil
@@ -162,21 +161,21 @@
 	return changes[0], true, nil
 }
 
-// transaction makes the new version conditional on the counter and on the rows
-// that it touches. It reports whether the table is still the newest.
+// transaction builds the write of a new version, conditional on the counter and on the rows
+// that it changes. It reports whether the table is still the newest.
 func (editor *Editor) transaction(ctx context.Context, next *Table, change Change, draft draft) (bvplatform.Transaction, bool, error) {
-	names := touched(change.Cells)
+	names := touchedRows(change.Cells)
 	keys := []string{versionKey}
 	for _, name := range names {
 		keys = append(keys, rowKey(name))
 	}
 	rows, err := editor.Store.Read(ctx, keys...)
 	if err != nil {
-		return bvplatform.Transaction{}, false, unavailable(err)
+		return bvplatform.Transaction{}, false, unavailableError(err)
 	}
 	version, err := decodeVersion(rows[0])
 	if err != nil {
-		return bvplatform.Transaction{}, false, unavailable(err)
+		return bvplatform.Transaction{}, false, unavailableError(err)
 	}
 	if version != change.Version-1 {
 		return bvplatform.Transaction{}, false, nil
@@ -188,17 +187,18 @@
 	if err := addPuts(&transaction, next, change, names); err != nil {
 		return bvplatform.Transaction{}, false, err
 	}
-	return transaction, true, editor.addDeletes(ctx, &transaction, change.Version-changesKept)
+	return transaction, true, editor.addDeletes(ctx, &transaction, change.Version-changesRetained)
 }
 
-// addDeletes lets a change that is kept no longer go along with this write.
+// addDeletes adds the deletion of the change that is no longer retained, and of its attempt's
+// row, to the transaction.
 func (editor *Editor) addDeletes(ctx context.Context, transaction *bvplatform.Transaction, version int64) error {
 	if version < 1 {
 		return nil
 	}
 	changes, err := storage{editor.Store}.changes(ctx, version, version)
 	if err != nil {
-		return unavailable(err)
+		return unavailableError(err)
 	}
 	for _, change := range changes {
 		transaction.Puts = append(transaction.Puts,
@@ -208,7 +208,7 @@
 	return nil
 }
 
-func touched(cells []Cell) []RowName {
+func touchedRows(cells []Cell) []RowName {
 	var names []RowName
 	for _, cell := range cells {
 		if !slices.Contains(names, cell.Row()) {
@@ -221,7 +221,7 @@
 func addPuts(transaction *bvplatform.Transaction, next *Table, change Change, names []RowName) error {
 	content, err := json.Marshal(change)
 	if err != nil {
-		return invalid(err)
+		return invalidError(err)
 	}
 	transaction.Puts = append(transaction.Puts,
 		bvplatform.Put{Key: versionKey, Value: encodeVersion(change.Version)},
@@ -235,7 +235,7 @@
 		}
 		content, err := json.Marshal(row)
 		if err != nil {
-			return invalid(err)
+			return invalidError(err)
 		}
 		transaction.Puts = append(transaction.Puts, bvplatform.Put{Key: rowKey(name), Value: content})
 	}
