--- a/bvprocess/caller_test.go
+++ b/bvprocess/caller_test.go
@@ -21,13 +21,13 @@
 	Content string `json:"content"`
 }
 
-// conversation is a program as its caller knows it: what it said and what it
-// was answered. It is the oracle of history, order and own answers.
+// conversation is a program from its caller's side: its messages and the answers. It checks
+// that each answer belongs to exactly this history.
 type conversation struct {
 	t       *testing.T
 	key     string
 	program string
-	kept    []message
+	history []message
 	turn    int
 	full    bool // sends the whole history with each call
 }
@@ -36,18 +36,18 @@
 	return &conversation{t: t, key: key, program: program}
 }
 
-// say makes the next call at a daemon and checks that the answer belongs to
-// exactly this history.
-func (conversation *conversation) say(daemon *process, text string) {
+// call makes the next call to a daemon and checks that the answer belongs to exactly this
+// history.
+func (conversation *conversation) call(daemon *process, text string) {
 	conversation.t.Helper()
 	conversation.turn++
 	status, body := conversation.post(daemon, text, false)
 	require.Equal(conversation.t, http.StatusOK, status, body)
-	conversation.take(text, contentOf(conversation.t, body))
+	conversation.recordTurn(text, contentOf(conversation.t, body))
 }
 
-// sayNext makes the next call without saying its number.
-func (conversation *conversation) sayNext(daemon *process, text string) {
+// callWithoutTurn makes the next call without a turn number.
+func (conversation *conversation) callWithoutTurn(daemon *process, text string) {
 	conversation.t.Helper()
 	request := conversation.request(daemon, text, false)
 	request.Header.Del("Bv-Turn")
@@ -57,20 +57,21 @@
 	body, err := io.ReadAll(response.Body)
 	require.NoError(conversation.t, err)
 	require.Equal(conversation.t, http.StatusOK, response.StatusCode, string(body))
-	conversation.take(text, contentOf(conversation.t, string(body)))
+	conversation.recordTurn(text, contentOf(conversation.t, string(body)))
 }
 
-func (conversation *conversation) take(text, answer string) {
+// recordTurn checks an answer and appends it to the history.
+func (conversation *conversation) recordTurn(text, answer string) {
 	conversation.t.Helper()
-	conversation.kept = append(conversation.kept, message{"user", text})
-	require.Equal(conversation.t, conversation.firstWord(), strings.Fields(answer)[0],
+	conversation.history = append(conversation.history, message{"user", text})
+	require.Equal(conversation.t, conversation.expectedFirstWord(), strings.Fields(answer)[0],
 		"the answer belongs to another history")
 	requireOneRun(conversation.t, answer)
-	conversation.kept = append(conversation.kept, message{"assistant", answer})
+	conversation.history = append(conversation.history, message{"assistant", answer})
 }
 
-// requireOneRun checks that all tokens of an answer come from one run: an
-// engine that varies its answers marks the tokens of each run.
+// requireOneRun checks that all tokens of an answer are from one run. An engine with --vary
+// marks the tokens of each run.
 func requireOneRun(t *testing.T, answer string) {
 	t.Helper()
 	words := strings.Fields(answer)
@@ -80,9 +81,9 @@
 	}
 }
 
-// firstWord is how the engine's answer to the history so far begins.
-func (conversation *conversation) firstWord() string {
-	encoded, err := json.Marshal(conversation.kept)
+// expectedFirstWord returns the first word of the engine's answer to the current history.
+func (conversation *conversation) expectedFirstWord() string {
+	encoded, err := json.Marshal(conversation.history)
 	require.NoError(conversation.t, err)
 	digest, err := bvstandin.Digest(encoded)
 	require.NoError(conversation.t, err)
@@ -92,7 +93,7 @@
 func (conversation *conversation) request(daemon *process, text string, stream bool) *http.Request {
 	messages := []message{{"user", text}}
 	if conversation.full {
-		messages = append(append([]message{}, conversation.kept...), messages...)
+		messages = append(append([]message{}, conversation.history...), messages...)
 	}
 	body, err := json.Marshal(struct {
 		Model     string    `json:"model"`
@@ -131,9 +132,9 @@
 	return answer.Choices[0].Message.Content
 }
 
-// chunks reads a stream of server-sent events. It returns the text, and
-// whether the stream ended with [DONE].
-func chunks(body io.Reader, each func(text string)) (text string, done bool) {
+// readChunks reads a stream of server-sent events. It returns the text, and whether the stream
+// ended with [DONE].
+func readChunks(body io.Reader, each func(text string)) (text string, done bool) {
 	var whole strings.Builder
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
@@ -158,8 +159,8 @@
 	return whole.String(), false
 }
 
-// fetch asks for a kept answer.
-func fetch(t *testing.T, daemon *process, key, program, id string) (status int, body string) {
+// fetchAnswer requests a stored answer.
+func fetchAnswer(t *testing.T, daemon *process, key, program, id string) (status int, body string) {
 	t.Helper()
 	url := "http://" + daemon.field("callers") + "/v1/programs/" + program + "/answers/" + id
 	request, err := http.NewRequest(http.MethodGet, url, nil)
--- a/bvprocess/cluster_test.go
+++ b/bvprocess/cluster_test.go
@@ -28,14 +28,14 @@
 		"\nconsortium admin " + adminKey + "\n"
 )
 
-// poll is how often a condition is looked at, and testTimeout how long; testTimeout
-// only bounds a test that fails.
+// poll is the interval at which a condition is checked. testTimeout bounds the wait for it and
+// is only reached by a failing test.
 const (
 	poll        = 50 * time.Millisecond
 	testTimeout = 30 * time.Second
 )
 
-// cluster is a set of processes that serve together.
+// cluster is a set of processes that form one deployment.
 type cluster struct {
 	t        testing.TB
 	platform *process
@@ -48,8 +48,8 @@
 	daemons  int
 	engines  int
 	services int
-	engine   []string // further arguments of engines
-	daemon   []string // further arguments of daemons
+	engine   []string // additional arguments of engines
+	daemon   []string // additional arguments of daemons
 }
 
 func startCluster(t *testing.T, size size) *cluster {
@@ -85,7 +85,7 @@
 	return cluster.startDaemonIn(i, nil, further...)
 }
 
-// startDaemonIn starts a daemon with further environment variables.
+// startDaemonIn starts a daemon with additional environment variables.
 func (cluster *cluster) startDaemonIn(i int, environment []string, further ...string) *process {
 	name := fmt.Sprintf("host-%d", i)
 	arguments := []string{
@@ -97,7 +97,7 @@
 	return start(cluster.t, name, environment, append(arguments, further...)...)
 }
 
-// waitReady waits until every daemon sees the endpoints and the other hosts.
+// waitReady waits until every daemon is ready and lists all hosts of the cluster.
 func (cluster *cluster) waitReady() {
 	cluster.t.Helper()
 	for _, daemon := range cluster.daemons {
@@ -116,9 +116,9 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// place returns the name of the host that a key belongs to as long as all
-// daemons of the cluster are live.
-func (cluster *cluster) place(key string) string {
+// assignedHost returns the name of the host to which a key is assigned while all daemons of
+// the cluster are live.
+func (cluster *cluster) assignedHost(key string) string {
 	view := &bvhost.View{}
 	var hosts []bvplatform.Host
 	for _, daemon := range cluster.daemons {
@@ -128,19 +128,19 @@
 	return view.Candidates(0, key)[0].Name
 }
 
-// programOwnedBy returns the name of a program that belongs to a daemon.
+// programOwnedBy returns the name of a program that the given host owns.
 func (cluster *cluster) programOwnedBy(member, host string) string {
 	for i := 0; ; i++ {
 		program := fmt.Sprintf("program-%d", i)
-		if cluster.place(bventry.ProgramKey(member, program)) == host {
+		if cluster.assignedHost(bventry.ProgramKey(member, program)) == host {
 			return program
 		}
 	}
 }
 
-// decider returns the daemon that decides for a pool.
-func (cluster *cluster) decider(pool string) *process {
-	name := cluster.place("pool/" + pool)
+// decidingDaemon returns the daemon that decides for a pool.
+func (cluster *cluster) decidingDaemon(pool string) *process {
+	name := cluster.assignedHost("pool/" + pool)
 	for _, daemon := range cluster.daemons {
 		if daemon.name == name {
 			return daemon
@@ -150,16 +150,16 @@
 	return nil
 }
 
-// other returns a daemon that is not the given one.
-func (cluster *cluster) other(daemon *process) *process {
+// otherDaemon returns a daemon other than the given one.
+func (cluster *cluster) otherDaemon(daemon *process) *process {
 	if cluster.daemons[0] != daemon {
 		return cluster.daemons[0]
 	}
 	return cluster.daemons[1]
 }
 
-// variables asks for a daemon's /debug/vars with a key.
-func (process *process) variables(key string) *http.Response {
+// getVariables requests a daemon's /debug/vars with a key.
+func (process *process) getVariables(key string) *http.Response {
 	request, err := http.NewRequest(http.MethodGet, "http://"+process.field("operators")+"/debug/vars", nil)
 	require.NoError(process.t, err)
 	request.Header.Set("Authorization", "Bearer "+key)
@@ -168,9 +168,9 @@
 	return response
 }
 
-// counter returns a variable of a daemon's /debug/vars.
+// counter returns a variable of a daemon's /debug/vars; 0 if there is none.
 func (cluster *cluster) counter(daemon *process, name string) int {
-	response := daemon.variables(adminKey)
+	response := daemon.getVariables(adminKey)
 	defer func() { _ = response.Body.Close() }()
 	var variables map[string]json.RawMessage
 	require.NoError(cluster.t, json.NewDecoder(response.Body).Decode(&variables))
--- a/bvprocess/endpoint_test.go
+++ b/bvprocess/endpoint_test.go
@@ -13,8 +13,8 @@
 	"balsamvalve.example/bvstandin"
 )
 
-// held returns how many prefixes an engine holds for a program.
-func (cluster *cluster) held(engine *process, program string) int {
+// countCachedPrefixes returns the number of prefixes that an engine caches for a program.
+func (cluster *cluster) countCachedPrefixes(engine *process, program string) int {
 	response, err := http.Get("http://" + engine.address() + "/cache")
 	require.NoError(cluster.t, err)
 	defer func() { _ = response.Body.Close() }()
@@ -31,8 +31,8 @@
 	return count
 }
 
-// end ends a program through a daemon.
-func (conversation *conversation) end(daemon *process) {
+// endProgram ends the program through a daemon.
+func (conversation *conversation) endProgram(daemon *process) {
 	request, err := http.NewRequest(http.MethodDelete, "http://"+daemon.field("callers")+"/v1/programs/"+conversation.program, nil)
 	require.NoError(conversation.t, err)
 	request.Header.Set("Authorization", "Bearer "+conversation.key)
@@ -42,52 +42,53 @@
 	require.Equal(conversation.t, http.StatusNoContent, response.StatusCode)
 }
 
-// Guards against a cache that is held since its program's owner was killed.
+// Guards against a cached prefix that is never released because the program's owner was
+// killed.
 func TestEnginesHoldNothingOfAnEndedProgramWhoseOwnerWasKilled(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, size{daemons: 3, engines: 2, engine: []string{"--decode=2000"}})
 	owner := cluster.daemons[1]
 	conversation := newConversation(t, boltsKey, cluster.programOwnedBy("bolts", owner.name))
-	conversation.say(cluster.daemons[0], "200 anchors")
-	conversation.say(cluster.daemons[0], "and 50 more")
+	conversation.call(cluster.daemons[0], "200 anchors")
+	conversation.call(cluster.daemons[0], "and 50 more")
 	total := func() int {
-		return cluster.held(cluster.engines[0], conversation.program) + cluster.held(cluster.engines[1], conversation.program)
+		return cluster.countCachedPrefixes(cluster.engines[0], conversation.program) + cluster.countCachedPrefixes(cluster.engines[1], conversation.program)
 	}
 	require.Positive(t, total(), "the engines should hold the program's prefix while it runs")
 	owner.kill()
-	conversation.end(cluster.daemons[0])
+	conversation.endProgram(cluster.daemons[0])
 	require.Eventually(t, func() bool { return total() == 0 }, testTimeout, poll)
 }
 
-// Guards against a silent connection that ends a caller's stream.
-func TestSilentStreamIsTakenUpOverANewConnection(t *testing.T) {
+// Guards against a caller's stream that ends because its connection to the engine is silent.
+func TestSilentStreamIsResumedOverANewConnection(t *testing.T) {
 	t.Parallel()
 	cluster := &cluster{t: t}
 	cluster.platform = start(t, "platform", nil, "standin", "platform")
 	cluster.engines = append(cluster.engines, cluster.startEngine(0, "--vary", "--decode=200"))
 	cluster.daemons = append(cluster.daemons, cluster.startDaemon(0, "--silence-limit=500ms"))
 	cluster.waitReady()
-	cluster.engines[0].fault(`{"silent_after":5}`)
+	cluster.engines[0].setFaults(`{"silent_after":5}`)
 	conversation := newConversation(t, boltsKey, "quote")
-	conversation.say(cluster.daemons[0], "200 anchors")
+	conversation.call(cluster.daemons[0], "200 anchors")
 }
 
-// Guards against new calls to a leaving engine, and answers that it cuts.
+// Guards against new calls to a leaving engine, and against answers that it cuts off.
 func TestLeavingEngineGetsNoNewCallsAndCutsNone(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, size{daemons: 3, engines: 2, engine: []string{"--decode=400", "--vary", "--drain=4s"}})
 	leaving := cluster.engines[0]
 	conversation := newConversation(t, boltsKey, "quote")
-	conversation.say(cluster.daemons[0], "first")
+	conversation.call(cluster.daemons[0], "first")
 	leaving.signal(syscall.SIGTERM)
 	exited := make(chan int, 1)
 	go func() { exited <- leaving.wait() }()
 	for {
-		conversation.say(cluster.daemons[conversation.turn%3], "next")
+		conversation.call(cluster.daemons[conversation.turn%3], "next")
 		select {
 		case code := <-exited:
 			require.Zero(t, code)
-			conversation.say(cluster.daemons[0], "after it")
+			conversation.call(cluster.daemons[0], "after it")
 			return
 		default:
 		}
@@ -107,39 +108,40 @@
 	status, body := poison.post(cluster.daemons[0], bvstandin.PoisonMarker, false)
 	require.Equal(t, http.StatusUnprocessableEntity, status, body)
 	require.True(t, strings.Contains(body, "poisonous"), body)
-	require.GreaterOrEqual(t, cluster.alive(), 2)
-	newConversation(t, boltsKey, "quote").say(cluster.daemons[0], "200 anchors")
+	require.GreaterOrEqual(t, cluster.countRunningEngines(), 2)
+	newConversation(t, boltsKey, "quote").call(cluster.daemons[0], "200 anchors")
 }
 
-// Guards against a next deciding host that does not know of crashes a moment ago.
+// Guards against a new deciding host without the record of recent crashes.
 func TestPoisonIsRememberedWhenTheDecidingHostIsKilled(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, size{
 		daemons: 3, engines: 4, engine: []string{"--decode=400"},
 		daemon: []string{"--poll-interval=2s"},
 	})
-	decider := cluster.decider("engine/m")
-	entry := cluster.other(decider)
+	decider := cluster.decidingDaemon("engine/m")
+	entry := cluster.otherDaemon(decider)
 	poison := newConversation(t, piranKey, "poison")
 	poison.turn = 1
 	require.Eventually(t, func() bool {
 		status, _ := poison.post(entry, bvstandin.PoisonMarker, false)
 		return status == http.StatusUnprocessableEntity
 	}, testTimeout, poll)
-	crashed := 4 - cluster.alive()
+	crashed := 4 - cluster.countRunningEngines()
 	decider.kill()
 	require.Eventually(t, func() bool {
 		status, _ := poison.post(entry, bvstandin.PoisonMarker, false)
 		return status == http.StatusUnprocessableEntity
 	}, testTimeout, poll)
-	require.Equal(t, crashed, 4-cluster.alive())
+	require.Equal(t, crashed, 4-cluster.countRunningEngines())
 }
 
-// Guards against a next deciding host that was out of reach and is never told of crashes.
-func TestPoisonIsToldToHostsThatWereFrozen(t *testing.T) {
+// Guards against a new deciding host that never receives the crash reports sent while it was
+// unreachable.
+func TestCrashesAreReportedToHostsThatWereFrozen(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, size{daemons: 3, engines: 4, engine: []string{"--decode=400"}})
-	decider := cluster.decider("engine/m")
+	decider := cluster.decidingDaemon("engine/m")
 	others := slices.DeleteFunc(slices.Clone(cluster.daemons), func(daemon *process) bool { return daemon == decider })
 	poison := newConversation(t, piranKey, cluster.programOwnedBy("piran", decider.name))
 	poison.turn = 1
@@ -151,7 +153,7 @@
 		return status == http.StatusUnprocessableEntity
 	}, testTimeout, poll)
 	require.Zero(t, cluster.counter(decider, "suspects_told"))
-	crashed := 4 - cluster.alive()
+	crashed := 4 - cluster.countRunningEngines()
 	for _, other := range others {
 		other.signal(syscall.SIGCONT)
 	}
@@ -161,11 +163,11 @@
 		status, _ := poison.post(others[0], bvstandin.PoisonMarker, false)
 		return status == http.StatusUnprocessableEntity
 	}, testTimeout, poll)
-	require.Equal(t, crashed, 4-cluster.alive())
+	require.Equal(t, crashed, 4-cluster.countRunningEngines())
 }
 
-// alive returns how many engines answer.
-func (cluster *cluster) alive() int {
+// countRunningEngines returns the number of engines that answer.
+func (cluster *cluster) countRunningEngines() int {
 	alive := 0
 	for _, engine := range cluster.engines {
 		if response, err := http.Get("http://" + engine.address() + "/load"); err == nil {
@@ -176,11 +178,11 @@
 	return alive
 }
 
-// Guards against a hung service that holds its caller beyond the deadline.
+// Guards against a hung service that blocks its caller beyond the deadline.
 func TestHungServiceEndsAtTheDeadline(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, size{daemons: 3, engines: 1, services: 1, engine: []string{"--instant"}})
-	cluster.services[0].fault(`{"hang":true}`)
+	cluster.services[0].setFaults(`{"hang":true}`)
 	url := "http://" + cluster.daemons[0].field("callers") + "/v1/services/booking/weather"
 	request, err := http.NewRequest(http.MethodGet, url, nil)
 	require.NoError(t, err)
@@ -192,15 +194,15 @@
 	_ = response.Body.Close()
 	require.Equal(t, http.StatusGatewayTimeout, response.StatusCode)
 	conversation := newConversation(t, piranKey, "lesson")
-	conversation.sayNext(cluster.daemons[0], "is there wind?")
+	conversation.callWithoutTurn(cluster.daemons[0], "is there wind?")
 }
 
-// Guards against a model without engines that counts as unknown.
-func TestModelWithoutEnginesIsRefusedWithATimeToComeBack(t *testing.T) {
+// Guards against rejecting a model without running engines as unknown.
+func TestModelWithoutEnginesIsRefusedWithARetryTime(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, size{daemons: 1, engines: 1, engine: []string{"--instant"}})
 	conversation := newConversation(t, piranKey, "lesson")
-	conversation.say(cluster.daemons[0], "first")
+	conversation.call(cluster.daemons[0], "first")
 	cluster.engines[0].kill()
 	conversation.turn++
 	var body string
@@ -217,5 +219,5 @@
 		status, answer = conversation.post(cluster.daemons[0], "next", false)
 		return status == http.StatusOK
 	}, testTimeout, poll)
-	conversation.take("next", contentOf(t, answer))
+	conversation.recordTurn("next", contentOf(t, answer))
 }
--- a/bvprocess/log_test.go
+++ b/bvprocess/log_test.go
@@ -10,15 +10,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// logged returns what a process has written to its log.
-func (process *process) logged() string {
-	content, err := os.ReadFile(process.log)
+// readLog returns the log of a process.
+func (process *process) readLog() string {
+	content, err := os.ReadFile(process.logPath)
 	require.NoError(process.t, err)
 	return string(content)
 }
 
-// sayTraced makes a call and returns the answer's status and trace.
-func (conversation *conversation) sayTraced(daemon *process, text string) (status int, trace string) {
+// callTraced makes a call and returns the answer's status and trace id.
+func (conversation *conversation) callTraced(daemon *process, text string) (status int, trace string) {
 	conversation.turn++
 	response, err := http.DefaultClient.Do(conversation.request(daemon, text, false))
 	require.NoError(conversation.t, err)
@@ -27,8 +27,8 @@
 	return response.StatusCode, response.Header.Get("Bv-Trace")
 }
 
-// startTalkative starts a cluster whose daemons log at a level.
-func startTalkative(t *testing.T, level string) *cluster {
+// startClusterAtLogLevel starts a cluster whose daemons log at the given level.
+func startClusterAtLogLevel(t *testing.T, level string) *cluster {
 	cluster := &cluster{t: t}
 	cluster.platform = start(t, "platform", nil, "standin", "platform")
 	cluster.engines = append(cluster.engines, cluster.startEngine(0, "--instant"))
@@ -42,22 +42,22 @@
 // Guards against prompts and members' names in logs.
 func TestLogsAtTraceLevelHoldNoPromptAndNoMember(t *testing.T) {
 	t.Parallel()
-	cluster := startTalkative(t, "trace")
+	cluster := startClusterAtLogLevel(t, "trace")
 	cluster.writeTable()
 	for i, key := range []string{piranKey, boltsKey} {
 		conversation := newConversation(t, key, "secretprogram")
 		for _, daemon := range cluster.daemons {
-			status, _ := conversation.sayTraced(daemon, "secretprompt")
+			status, _ := conversation.callTraced(daemon, "secretprompt")
 			require.Equal(t, http.StatusOK, status)
 		}
 		conversation.turn = 0
-		status, _ := conversation.sayTraced(cluster.daemons[i], "secretprompt of another body under the first id")
+		status, _ := conversation.callTraced(cluster.daemons[i], "secretprompt of another body under the first id")
 		require.NotEqual(t, http.StatusOK, status)
-		conversation.end(cluster.daemons[i])
+		conversation.endProgram(cluster.daemons[i])
 	}
-	cluster.table(cluster.daemons[0], piranOperatorKey, "set", "piran", "budget=-1")
+	cluster.runTableCommand(cluster.daemons[0], piranOperatorKey, "set", "piran", "budget=-1")
 	for _, daemon := range cluster.daemons {
-		log := daemon.logged()
+		log := daemon.readLog()
 		require.Contains(t, log, "owner asked")
 		for _, hidden := range []string{"secret", "piran", "bolts", "-key-"} {
 			require.NotContains(t, log, hidden, daemon.name)
@@ -65,34 +65,34 @@
 	}
 }
 
-// Guards against a request that can't be found in the logs of its hosts.
+// A trace id must find a request in the logs of all hosts that handled it.
 func TestOneIdFindsARequestInTheLogsOfAllItsHosts(t *testing.T) {
 	t.Parallel()
-	cluster := startTalkative(t, "debug")
+	cluster := startClusterAtLogLevel(t, "debug")
 	conversation := newConversation(t, boltsKey, cluster.programOwnedBy("bolts", "host-2"))
-	status, _ := conversation.sayTraced(cluster.daemons[1], "200 anchors")
+	status, _ := conversation.callTraced(cluster.daemons[1], "200 anchors")
 	require.Equal(t, http.StatusOK, status)
 	conversation.turn = 0
-	status, trace := conversation.sayTraced(cluster.daemons[0], "another body under the first id")
+	status, trace := conversation.callTraced(cluster.daemons[0], "another body under the first id")
 	require.NotEqual(t, http.StatusOK, status)
 	require.Len(t, trace, 32)
 	require.Eventually(t, func() bool {
-		return strings.Count(cluster.daemons[0].logged(), trace) >= 2 && strings.Contains(cluster.daemons[2].logged(), trace)
+		return strings.Count(cluster.daemons[0].readLog(), trace) >= 2 && strings.Contains(cluster.daemons[2].readLog(), trace)
 	}, testTimeout, poll)
-	require.Contains(t, cluster.daemons[0].logged(), "verdict=\"not run\"")
+	require.Contains(t, cluster.daemons[0].readLog(), "verdict=\"not run\"")
 }
 
-// With the ordinary level a busy host must not write a line a request.
+// At the default level a busy host must not write a log line for each request.
 func TestRequestsLeaveNoLineAtInfoLevel(t *testing.T) {
 	t.Parallel()
-	cluster := startTalkative(t, "info")
+	cluster := startClusterAtLogLevel(t, "info")
 	conversation := newConversation(t, boltsKey, "quote")
-	before := cluster.daemons[0].logged()
+	before := cluster.daemons[0].readLog()
 	for range 5 {
-		conversation.say(cluster.daemons[0], "more")
+		conversation.call(cluster.daemons[0], "more")
 	}
 	conversation.turn = 0
-	status, _ := conversation.sayTraced(cluster.daemons[0], "another body under the first id")
+	status, _ := conversation.callTraced(cluster.daemons[0], "another body under the first id")
 	require.NotEqual(t, http.StatusOK, status)
-	require.Equal(t, before, cluster.daemons[0].logged())
+	require.Equal(t, before, cluster.daemons[0].readLog())
 }
--- a/bvprocess/loss_test.go
+++ b/bvprocess/loss_test.go
@@ -8,19 +8,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a stream that is cut since its program's owner was killed.
+// Guards against a stream that is cut off when its program's owner is killed.
 func TestCallerGetsWholeAnswerWhenOwnerIsKilledInMidStream(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, size{daemons: 3, engines: 2, engine: []string{"--decode=40", "--vary"}})
 	entry, owner := cluster.daemons[0], cluster.daemons[1]
 	conversation := newConversation(t, boltsKey, cluster.programOwnedBy("bolts", owner.name))
-	conversation.say(entry, "200 anchors")
+	conversation.call(entry, "200 anchors")
 	conversation.turn++
 	response, err := http.DefaultClient.Do(conversation.request(entry, "of M10", true))
 	require.NoError(t, err)
 	defer func() { _ = response.Body.Close() }()
 	tokens := 0
-	text, done := chunks(response.Body, func(string) {
+	text, done := readChunks(response.Body, func(string) {
 		tokens++
 		if tokens == 5 {
 			owner.kill()
@@ -28,7 +28,7 @@
 	})
 	require.True(t, done, "cut after %q", text)
 	require.Len(t, strings.Fields(text), 40)
-	conversation.take("of M10", text)
-	conversation.say(entry, "and 50 more")
+	conversation.recordTurn("of M10", text)
+	conversation.call(entry, "and 50 more")
 	require.Equal(t, 1, cluster.counter(entry, "lost_owners"))
 }
--- a/bvprocess/main_test.go
+++ b/bvprocess/main_test.go
@@ -7,7 +7,7 @@
 	"balsamvalve.example/bvcommand"
 )
 
-// childVariable makes the test binary run as the command.
+// childVariable is the environment variable that makes the test binary run as the command.
 const childVariable = "BALSAMVALVE_TEST_CHILD"
 
 func TestMain(m *testing.M) {
--- a/bvprocess/metrics_test.go
+++ b/bvprocess/metrics_test.go
@@ -14,11 +14,11 @@
 	daemon := cluster.daemons[0]
 	conversation := newConversation(t, boltsKey, "quote")
 	for range 3 {
-		conversation.say(daemon, "200 anchors of the size M10, galvanized, and what they cost")
+		conversation.call(daemon, "200 anchors of the size M10, galvanized, and what they cost")
 	}
-	conversation.end(daemon)
+	conversation.endProgram(daemon)
 	require.Eventually(t, func() bool { return cluster.counter(daemon, "releases") > 0 }, testTimeout, poll)
-	response := daemon.variables(adminKey)
+	response := daemon.getVariables(adminKey)
 	defer func() { _ = response.Body.Close() }()
 	var variables struct {
 		Calls    struct{ Count int } `json:"call_latency"`
@@ -35,11 +35,11 @@
 	require.Greater(t, variables.Prompt, variables.Cached)
 }
 
-// With two members, totals over both tell each its rival's load.
+// With two members, totals over both reveal to each member the other's load.
 func TestOperatorsKeyDoesNotShowTotals(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, size{daemons: 1})
-	response := cluster.daemons[0].variables(piranOperatorKey)
+	response := cluster.daemons[0].getVariables(piranOperatorKey)
 	defer func() { _ = response.Body.Close() }()
 	require.Equal(t, http.StatusForbidden, response.StatusCode)
 }
--- a/bvprocess/once_test.go
+++ b/bvprocess/once_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// book sends an unrepeatable booking and returns status, verdict and body.
-func (cluster *cluster) book(daemon *process, program, request string) (status int, verdict, body string) {
+// sendBooking sends an unrepeatable booking and returns the status, verdict and body.
+func (cluster *cluster) sendBooking(daemon *process, program, request string) (status int, verdict, body string) {
 	url := "http://" + daemon.field("callers") + "/v1/services/booking/lessons"
 	post, err := http.NewRequest(http.MethodPost, url, strings.NewReader(`{"lesson":"nine o'clock"}`))
 	require.NoError(cluster.t, err)
@@ -34,8 +34,8 @@
 	return response.StatusCode, failure.Error.Verdict, string(content)
 }
 
-// runs asks the service how often a request ran there.
-func (cluster *cluster) runs(request string) int {
+// countRuns queries the service for the number of times that a request ran.
+func (cluster *cluster) countRuns(request string) int {
 	response, err := http.Get("http://" + cluster.services[0].address() + "/runs?request=" + request)
 	require.NoError(cluster.t, err)
 	defer func() { _ = response.Body.Close() }()
@@ -44,8 +44,8 @@
 	return count.Runs
 }
 
-// fault sets faults of a stand-in.
-func (process *process) fault(faults string) {
+// setFaults sets the faults of a stand-in.
+func (process *process) setFaults(faults string) {
 	response, err := http.Post("http://"+process.address()+"/faults", "application/json", strings.NewReader(faults))
 	require.NoError(process.t, err)
 	_ = response.Body.Close()
@@ -55,31 +55,31 @@
 func TestRepeatedBookingIsAnsweredFromItsRecord(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, size{daemons: 3, services: 1})
-	status, _, first := cluster.book(cluster.daemons[0], "lesson", "booking-1")
+	status, _, first := cluster.sendBooking(cluster.daemons[0], "lesson", "booking-1")
 	require.Equal(t, http.StatusOK, status, first)
 	for _, daemon := range cluster.daemons {
-		status, _, again := cluster.book(daemon, "lesson", "booking-1")
+		status, _, again := cluster.sendBooking(daemon, "lesson", "booking-1")
 		require.Equal(t, http.StatusOK, status, again)
 		require.Equal(t, first, again)
 	}
-	require.Equal(t, 1, cluster.runs("booking-1"))
+	require.Equal(t, 1, cluster.countRuns("booking-1"))
 }
 
-// Guards against a booking that runs twice since its host was killed.
+// Guards against a booking that runs twice because its host was killed.
 func TestBookingRunsAtMostOnceWhenItsHostIsKilled(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, size{daemons: 3, services: 1})
 	owner := cluster.daemons[2]
 	program := cluster.programOwnedBy("piran", owner.name)
-	cluster.services[0].fault(`{"hang":true}`)
+	cluster.services[0].setFaults(`{"hang":true}`)
 	var callers sync.WaitGroup
-	callers.Go(func() { cluster.book(cluster.daemons[0], program, "booking-2") })
-	require.Eventually(t, func() bool { return cluster.runs("booking-2") == 1 }, testTimeout, poll)
+	callers.Go(func() { cluster.sendBooking(cluster.daemons[0], program, "booking-2") })
+	require.Eventually(t, func() bool { return cluster.countRuns("booking-2") == 1 }, testTimeout, poll)
 	owner.kill()
 	for range 2 {
 		for _, daemon := range cluster.daemons[:2] {
 			callers.Go(func() {
-				status, verdict, body := cluster.book(daemon, program, "booking-2")
+				status, verdict, body := cluster.sendBooking(daemon, program, "booking-2")
 				if status != http.StatusOK && verdict != "may have run" {
 					t.Errorf("status %d, verdict %q: %s", status, verdict, body)
 				}
@@ -87,10 +87,10 @@
 		}
 	}
 	callers.Wait()
-	require.Equal(t, 1, cluster.runs("booking-2"))
+	require.Equal(t, 1, cluster.countRuns("booking-2"))
 }
 
-// Guards against a booking that a frozen host sends once more.
+// Guards against a booking that a frozen host sends again after it resumes.
 func TestBookingRunsAtMostOnceWhenItsHostIsFrozen(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, size{daemons: 3, services: 1})
@@ -99,12 +99,12 @@
 	for round := range 4 {
 		request := fmt.Sprintf("booking-3-%d", round)
 		var callers sync.WaitGroup
-		callers.Go(func() { cluster.book(cluster.daemons[0], program, request) })
+		callers.Go(func() { cluster.sendBooking(cluster.daemons[0], program, request) })
 		owner.signal(syscall.SIGSTOP)
-		callers.Go(func() { cluster.book(cluster.daemons[1], program, request) })
+		callers.Go(func() { cluster.sendBooking(cluster.daemons[1], program, request) })
 		callers.Wait()
 		owner.signal(syscall.SIGCONT)
-		cluster.book(cluster.daemons[0], program, request)
-		require.LessOrEqual(t, cluster.runs(request), 1)
+		cluster.sendBooking(cluster.daemons[0], program, request)
+		require.LessOrEqual(t, cluster.countRuns(request), 1)
 	}
 }
--- a/bvprocess/process_test.go
+++ b/bvprocess/process_test.go
@@ -14,11 +14,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// startLimit is how long a process may take until it listens; it decides no
-// verdict but that of a process which never starts.
+// startLimit bounds the time until a process listens. Only a process that never starts
+// reaches it.
 const startLimit = 20 * time.Second
 
-// dumpTime is what a process gets to write its goroutines.
+// dumpTime is the time allowed for a process to write its goroutine dump.
 const dumpTime = 500 * time.Millisecond
 
 // process is a child process.
@@ -27,7 +27,7 @@
 	name    string
 	command *exec.Cmd
 	line    string // its first line of output
-	log     string // path of what it wrote to stderr
+	logPath string // path of the file with its stderr
 	exited  chan error
 }
 
@@ -43,7 +43,7 @@
 	output, err := command.StdoutPipe()
 	require.NoError(t, err)
 	require.NoError(t, command.Start())
-	process := &process{t: t, name: name, command: command, log: log.Name(), exited: make(chan error, 1)}
+	process := &process{t: t, name: name, command: command, logPath: log.Name(), exited: make(chan error, 1)}
 	lines := make(chan string, 1)
 	go func() {
 		reader := bufio.NewScanner(output)
@@ -63,8 +63,8 @@
 	return process
 }
 
-// cleanUp ends the process. After a failure it leaves its goroutines in the
-// log, which show what it was waiting for.
+// cleanUp ends the process. After a test failure it prints the log with a goroutine dump,
+// which shows what the process was waiting for.
 func (process *process) cleanUp(log *os.File) {
 	if process.t.Failed() {
 		process.signal(syscall.SIGQUIT)
--- a/bvprocess/speed_test.go
+++ b/bvprocess/speed_test.go
@@ -17,10 +17,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// callersAtOnce is how many programs are under way in the throughput benchmark.
-const callersAtOnce = 1000
+// concurrentCallers is the number of concurrent programs in the throughput benchmark.
+const concurrentCallers = 1000
 
-// speedCluster is one daemon on two cores before an engine that answers at once.
+// speedCluster starts one daemon on two cores and an engine that answers immediately.
 func speedCluster(b *testing.B) *cluster {
 	b.Helper()
 	cluster := &cluster{t: b}
@@ -31,19 +31,19 @@
 	return cluster
 }
 
-// BenchmarkDaemonThroughput has 1,000 programs under way at one daemon on two
-// cores, and reports its processor time a request and its memory.
+// BenchmarkDaemonThroughput runs 1,000 concurrent programs against one daemon on two cores,
+// and reports the daemon's processor time per request and its memory.
 func BenchmarkDaemonThroughput(b *testing.B) {
 	cluster := speedCluster(b)
 	daemon := cluster.daemons[0]
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callersAtOnce}}
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: concurrentCallers}}
 	histogram := hdrhistogram.New(1, 60_000_000, 3)
 	var guard sync.Mutex
 	var next atomic.Int64
 	var callers sync.WaitGroup
 	before := daemon.processorTime()
 	b.ResetTimer()
-	for caller := range callersAtOnce {
+	for caller := range concurrentCallers {
 		callers.Go(func() {
 			for turn := 1; next.Add(1) <= int64(b.N); turn++ {
 				begun := time.Now()
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// ticksPerSecond is the kernel's unit in /proc/PID/stat.
+// ticksPerSecond is the kernel's unit of time in /proc/PID/stat.
 const ticksPerSecond = 100
 
 // processorTime returns the user and system time of a process so far.
@@ -121,7 +121,7 @@
 	return 0
 }
 
-// BenchmarkIdleDaemon reports what a daemon spends on control alone.
+// BenchmarkIdleDaemon reports the processor time and memory of a daemon without requests.
 func BenchmarkIdleDaemon(b *testing.B) {
 	cluster := speedCluster(b)
 	daemon := cluster.daemons[0]
--- a/bvprocess/status_test.go
+++ b/bvprocess/status_test.go
@@ -14,8 +14,8 @@
 	"balsamvalve.example/bvstatus"
 )
 
-// status runs the status command against a daemon.
-func (cluster *cluster) status(daemon *process, key string, arguments ...string) string {
+// runStatusCommand runs the status command against a daemon.
+func (cluster *cluster) runStatusCommand(daemon *process, key string, arguments ...string) string {
 	cluster.t.Helper()
 	command := exec.Command(os.Args[0], append([]string{"status"}, arguments...)...)
 	command.Env = append(os.Environ(), childVariable+"=1", "BALSAMVALVE_KEY="+key,
@@ -28,11 +28,11 @@
 func (cluster *cluster) statusJSON(daemon *process, key string) bvstatus.Status {
 	cluster.t.Helper()
 	var status bvstatus.Status
-	require.NoError(cluster.t, json.Unmarshal([]byte(cluster.status(daemon, key, "--json")), &status))
+	require.NoError(cluster.t, json.Unmarshal([]byte(cluster.runStatusCommand(daemon, key, "--json")), &status))
 	return status
 }
 
-func member(status bvstatus.Status, name string) bvstatus.Member {
+func findMember(status bvstatus.Status, name string) bvstatus.Member {
 	for _, member := range status.Members {
 		if member.Name == name {
 			return member
@@ -45,7 +45,7 @@
 	t.Parallel()
 	cluster := startCluster(t, size{daemons: 3, engines: 2, engine: []string{"--instant"}})
 	cluster.writeTable()
-	newConversation(t, boltsKey, "quote").say(cluster.daemons[0], "200 anchors")
+	newConversation(t, boltsKey, "quote").call(cluster.daemons[0], "200 anchors")
 	refused := newConversation(t, boltsKey, "refused")
 	refused.turn = 9
 	status, body := refused.post(cluster.daemons[2], "out of order", false)
@@ -53,23 +53,23 @@
 
 	require.Eventually(t, func() bool {
 		seen := cluster.statusJSON(cluster.daemons[1], boltsOperatorKey)
-		own := member(seen, "bolts").Details
+		own := findMember(seen, "bolts").Details
 		return own != nil && own.Programs > 0 && own.Work > 0 && len(own.Refusals) > 0 && seen.Hosts[0].Version == 1
 	}, testTimeout, poll)
 	seen := cluster.statusJSON(cluster.daemons[1], boltsOperatorKey)
 	require.Len(t, seen.Hosts, 3)
 	require.Len(t, seen.Endpoints, 2)
-	require.Nil(t, member(seen, "piran").Details)
-	require.InDelta(t, 50, member(seen, "piran").Share, 0)
+	require.Nil(t, findMember(seen, "piran").Details)
+	require.InDelta(t, 50, findMember(seen, "piran").Share, 0)
 	rivals := cluster.statusJSON(cluster.daemons[0], piranOperatorKey)
-	require.Nil(t, member(rivals, "bolts").Details)
-	require.Zero(t, member(rivals, "piran").Details.Programs)
-	for line := range strings.Lines(cluster.status(cluster.daemons[0], boltsOperatorKey)) {
+	require.Nil(t, findMember(rivals, "bolts").Details)
+	require.Zero(t, findMember(rivals, "piran").Details.Programs)
+	for line := range strings.Lines(cluster.runStatusCommand(cluster.daemons[0], boltsOperatorKey)) {
 		require.LessOrEqual(t, len(strings.TrimRight(line, "\n")), bvstatus.Width, line)
 	}
 }
 
-// Guards against a frozen host that holds up the status of all.
+// Guards against a frozen host that blocks the status of all hosts.
 func TestStatusNamesTheHostThatDoesNotAnswer(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, size{daemons: 3})
--- a/bvprocess/stop_test.go
+++ b/bvprocess/stop_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// balancer hands out the daemons that are ready, as the platform's does.
+// balancer picks among the ready daemons in turn, like the platform's load balancer.
 type balancer struct {
 	mutex   sync.Mutex
 	daemons []*process
@@ -45,9 +45,8 @@
 	balancer.daemons = append(balancer.daemons, daemon)
 }
 
-// sayAnywhere makes the next call through the balancer and returns what went
-// wrong, if anything.
-func (conversation *conversation) sayAnywhere(balancer *balancer, text string) error {
+// callThroughBalancer makes the next call through the balancer and returns its error.
+func (conversation *conversation) callThroughBalancer(balancer *balancer, text string) error {
 	conversation.turn++
 	response, err := http.DefaultClient.Do(conversation.request(balancer.pick(), text, true))
 	if err != nil {
@@ -58,15 +57,15 @@
 		body, _ := io.ReadAll(response.Body)
 		return fmt.Errorf("status %d: %s", response.StatusCode, body)
 	}
-	answer, done := chunks(response.Body, nil)
+	answer, done := readChunks(response.Body, nil)
 	if !done {
 		return fmt.Errorf("cut after %q", answer)
 	}
-	conversation.take(text, answer)
+	conversation.recordTurn(text, answer)
 	return nil
 }
 
-// Guards against planned stops that cut requests.
+// Guards against planned stops that cut off requests.
 func TestReplacingEveryHostCutsNoRequest(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, size{daemons: 3, engines: 2, engine: []string{"--decode=200", "--vary"}})
@@ -79,7 +78,7 @@
 		callers.Go(func() {
 			conversation := newConversation(t, piranKey, fmt.Sprintf("lesson-%d", i))
 			for !stopping.Load() {
-				if err := conversation.sayAnywhere(balancer, "next"); err != nil {
+				if err := conversation.callThroughBalancer(balancer, "next"); err != nil {
 					failures <- fmt.Errorf("%s turn %d: %w", conversation.program, conversation.turn, err)
 					return
 				}
--- a/bvprocess/table_test.go
+++ b/bvprocess/table_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// table runs a command of the operators' table against a daemon.
-func (cluster *cluster) table(daemon *process, key string, arguments ...string) (output string, code int) {
+// runTableCommand runs the table command against a daemon.
+func (cluster *cluster) runTableCommand(daemon *process, key string, arguments ...string) (output string, code int) {
 	command := exec.Command(os.Args[0], append([]string{"table"}, arguments...)...)
 	command.Env = append(os.Environ(), childVariable+"=1", "BALSAMVALVE_KEY="+key,
 		"BALSAMVALVE_OPERATOR_ADDRESS="+daemon.field("operators"))
@@ -24,9 +24,9 @@
 	return string(content), command.ProcessState.ExitCode()
 }
 
-// writeTable makes the first table, with a row for each member.
+// writeTable imports the first table, with a row for each member and one class.
 func (cluster *cluster) writeTable() {
-	output, code := cluster.table(cluster.daemons[0], adminKey, "import", cluster.firstTable())
+	output, code := cluster.runTableCommand(cluster.daemons[0], adminKey, "import", cluster.firstTable())
 	require.Zero(cluster.t, code, output)
 }
 
@@ -37,12 +37,12 @@
 	return file
 }
 
-// An operator sets a cell: the answer says that it is in force on all hosts.
+// After an edit the command must report that the version is in force on all hosts.
 func TestEditIsInForceOnAllHosts(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, size{daemons: 3, engines: 1, engine: []string{"--instant"}})
 	cluster.writeTable()
-	output, code := cluster.table(cluster.daemons[1], piranOperatorKey, "set", "piran/booking", "turns=2")
+	output, code := cluster.runTableCommand(cluster.daemons[1], piranOperatorKey, "set", "piran/booking", "turns=2")
 	require.Zero(t, code, output)
 	require.Contains(t, output, "in force on all 3 hosts")
 	for _, daemon := range cluster.daemons {
@@ -50,20 +50,20 @@
 	}
 }
 
-// Guards against an edit that seems to be confirmed by a frozen host.
+// Guards against reporting an edit as confirmed by a frozen host.
 func TestFrozenHostIsNamedByAnEdit(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, size{daemons: 3})
 	cluster.writeTable()
 	frozen := cluster.daemons[2]
 	frozen.signal(syscall.SIGSTOP)
-	output, code := cluster.table(cluster.daemons[0], piranOperatorKey, "set", "piran/booking", "turns=3")
+	output, code := cluster.runTableCommand(cluster.daemons[0], piranOperatorKey, "set", "piran/booking", "turns=3")
 	require.Contains(t, output, frozen.name, "exit %d", code)
 	frozen.signal(syscall.SIGCONT)
 	require.Eventually(t, func() bool { return cluster.counter(frozen, "table_version") >= 2 }, testTimeout, poll)
 }
 
-// Guards against racing edits of which one is lost.
+// Guards against losing one of several concurrent edits.
 func TestRacingOperatorsLoseNoEdit(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, size{daemons: 3})
@@ -71,7 +71,7 @@
 	var operators sync.WaitGroup
 	edit := func(daemon *process, key, row, cell string) {
 		operators.Go(func() {
-			if output, code := cluster.table(daemon, key, "set", row, cell); code != 0 {
+			if output, code := cluster.runTableCommand(daemon, key, "set", row, cell); code != 0 {
 				t.Errorf("%s %s: %s", row, cell, output)
 			}
 		})
@@ -80,12 +80,12 @@
 	edit(cluster.daemons[1], boltsOperatorKey, "bolts", "budget=2000")
 	edit(cluster.daemons[2], piranOperatorKey, "piran/booking", "turns=7")
 	operators.Wait()
-	piran, code := cluster.table(cluster.daemons[0], piranOperatorKey, "get")
+	piran, code := cluster.runTableCommand(cluster.daemons[0], piranOperatorKey, "get")
 	require.Zero(t, code, piran)
 	require.Contains(t, piran, "1000")
 	require.Contains(t, piran, "7")
 	require.NotContains(t, piran, "2000", "a rival's budget")
-	bolts, code := cluster.table(cluster.daemons[1], boltsOperatorKey, "get")
+	bolts, code := cluster.runTableCommand(cluster.daemons[1], boltsOperatorKey, "get")
 	require.Zero(t, code, bolts)
 	require.Contains(t, bolts, "2000")
 }
@@ -94,42 +94,42 @@
 	t.Parallel()
 	cluster := startCluster(t, size{daemons: 1})
 	cluster.writeTable()
-	output, code := cluster.table(cluster.daemons[0], boltsOperatorKey, "set", "piran", "budget=1")
+	output, code := cluster.runTableCommand(cluster.daemons[0], boltsOperatorKey, "set", "piran", "budget=1")
 	require.NotZero(t, code)
 	require.Contains(t, output, "forbidden")
 }
 
-// Guards against a program that loops without end.
+// Guards against a program that loops indefinitely.
 func TestLoopingProgramIsEndedAtItsTurns(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, size{daemons: 3, engines: 1, engine: []string{"--decode=2000"}})
 	cluster.writeTable()
-	output, code := cluster.table(cluster.daemons[0], boltsOperatorKey, "set", "bolts", "turns=3")
+	output, code := cluster.runTableCommand(cluster.daemons[0], boltsOperatorKey, "set", "bolts", "turns=3")
 	require.Zero(t, code, output)
 	conversation := newConversation(t, boltsKey, "loop")
 	for range 3 {
-		conversation.say(cluster.daemons[0], "again")
+		conversation.call(cluster.daemons[0], "again")
 	}
 	conversation.turn++
 	status, body := conversation.post(cluster.daemons[1], "again", false)
 	require.Equal(t, http.StatusTooManyRequests, status, body)
 	require.Contains(t, body, `"verdict":"not run"`)
-	require.Eventually(t, func() bool { return cluster.held(cluster.engines[0], "loop") == 0 }, testTimeout, poll)
+	require.Eventually(t, func() bool { return cluster.countCachedPrefixes(cluster.engines[0], "loop") == 0 }, testTimeout, poll)
 }
 
-// Guards against a call that passes its program's budget.
+// Guards against a program that exceeds its budget.
 func TestProgramStopsAtItsBudget(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, size{daemons: 3, engines: 1, engine: []string{"--instant"}})
 	cluster.writeTable()
-	output, code := cluster.table(cluster.daemons[0], boltsOperatorKey, "set", "bolts", "budget=1000")
+	output, code := cluster.runTableCommand(cluster.daemons[0], boltsOperatorKey, "set", "bolts", "budget=1000")
 	require.Zero(t, code, output)
 	conversation := newConversation(t, boltsKey, "dear")
 	for call := range 20 {
 		conversation.turn++
 		status, body := conversation.post(cluster.daemons[call%3], "more anchors", false)
 		if status == http.StatusOK {
-			conversation.take("more anchors", contentOf(t, body))
+			conversation.recordTurn("more anchors", contentOf(t, body))
 			continue
 		}
 		require.Equal(t, http.StatusPaymentRequired, status, body)
@@ -140,19 +140,19 @@
 	t.Fatal("twenty calls were within a budget of 1000")
 }
 
-// Guards against a member who reaches a rival's program by its name.
+// Guards against a member that accesses another member's program by its name.
 func TestProgramsOfRivalsWithOneNameStayApart(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, size{daemons: 3, engines: 1, engine: []string{"--instant"}})
 	piran := newConversation(t, piranKey, "p1")
 	bolts := newConversation(t, boltsKey, "p1")
-	piran.say(cluster.daemons[0], "a lesson")
-	bolts.say(cluster.daemons[0], "anchors")
-	piran.say(cluster.daemons[1], "at nine")
-	bolts.say(cluster.daemons[1], "of M10")
-	status, body := fetch(t, cluster.daemons[0], boltsKey, "p2", "p2-1")
+	piran.call(cluster.daemons[0], "a lesson")
+	bolts.call(cluster.daemons[0], "anchors")
+	piran.call(cluster.daemons[1], "at nine")
+	bolts.call(cluster.daemons[1], "of M10")
+	status, body := fetchAnswer(t, cluster.daemons[0], boltsKey, "p2", "p2-1")
 	require.Equal(t, http.StatusNotFound, status, body)
-	rival, rivalBody := fetch(t, cluster.daemons[0], boltsKey, "p1", "p1-9")
+	rival, rivalBody := fetchAnswer(t, cluster.daemons[0], boltsKey, "p1", "p1-9")
 	require.Equal(t, http.StatusNotFound, rival, rivalBody)
 	require.False(t, strings.Contains(rivalBody, "piran"))
 }
--- a/bvprocess/tls_test.go
+++ b/bvprocess/tls_test.go
@@ -25,8 +25,8 @@
 	"balsamvalve.example/bvtls"
 )
 
-// issue writes a certificate for 127.0.0.1 that is its own authority.
-func issue(t *testing.T) bvtls.Files {
+// issueCertificate writes a self-signed certificate for 127.0.0.1 that is its own authority.
+func issueCertificate(t *testing.T) bvtls.Files {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(t, err)
 	template := &x509.Certificate{
@@ -49,8 +49,7 @@
 	}
 }
 
-// clientOf returns a client that trusts the authority and shows the
-// certificate.
+// clientOf returns a client that trusts the authority and presents the certificate.
 func clientOf(t *testing.T, files bvtls.Files) *http.Client {
 	pair, err := tls.LoadX509KeyPair(files.Certificate, files.Key)
 	require.NoError(t, err)
@@ -63,8 +62,8 @@
 	}}
 }
 
-// startTLS starts a cluster whose daemons use TLS towards all. The engine
-// announces itself at a plain port of the same platform.
+// startTLS starts a cluster whose daemons use TLS with callers, peers and the platform. The
+// engine announces itself at a plain port of the same platform.
 func startTLS(t *testing.T, files bvtls.Files, daemons int) *cluster {
 	platform := &bvstandin.Platform{}
 	plain := httptest.NewServer(platform)
@@ -89,7 +88,7 @@
 	return cluster
 }
 
-// securedStatus is the output of the status command.
+// securedStatus returns the output of the status command over TLS.
 func securedStatus(daemon *process, files bvtls.Files) string {
 	command := exec.Command(os.Args[0], "status", "--ca", files.Authority)
 	command.Env = append(os.Environ(), childVariable+"=1", "BALSAMVALVE_KEY="+boltsOperatorKey,
@@ -98,10 +97,10 @@
 	return string(output)
 }
 
-// Guards against a connection without TLS, or one that TLS breaks.
+// Guards against a connection that lacks TLS or fails with it.
 func TestEverythingWorksWithTLSOnAllConnections(t *testing.T) {
 	t.Parallel()
-	files := issue(t)
+	files := issueCertificate(t)
 	client := clientOf(t, files)
 	cluster := startTLS(t, files, 3)
 	for _, daemon := range cluster.daemons {
@@ -120,7 +119,7 @@
 		require.NoError(t, err)
 		_ = response.Body.Close()
 		require.Equal(t, http.StatusOK, response.StatusCode, string(body))
-		conversation.take("more anchors", contentOf(t, string(body)))
+		conversation.recordTurn("more anchors", contentOf(t, string(body)))
 	}
 
 	callers := cluster.daemons[0].field("callers")
--- a/bvtable/writing.go
+++ b/bvtable/writing.go
@@ -95,7 +95,7 @@
 // commit reports whether the transaction is known to have created the version.
 //
 // The store's answer can be lost after the write took effect, before it did, or while it is
-// still in flight. The next attempt resolves this: if the write took effect, the attempt's row
+// still in flight. The next writeOnce resolves this: if the write took effect, the attempt's row
 // exists; if it is still in flight, both transactions are conditional on the same counter, so
 // that at most one takes effect.
 func (writer *editWriter) commit(ctx context.Context, transaction bvplatform.Transaction, version int64) (bool, error) {
