--- a/bvcaller/api.go
+++ b/bvcaller/api.go
@@ -10,19 +10,19 @@
 //
 // An unchanged client of the chat API works without any of these.
 //
-//	Bv-Program       the program's id; without it the call is a program of its own
+//	Bv-Program       the program's id; without it the call forms a single-call program
 //	Bv-Turn          the number of the call in its program, from 1
 //	Bv-Parent        the program that started this one
 //	Bv-Request       the caller's id of the request, the same when it is repeated
 //	Bv-Class         the row of the operators' table
-//	Bv-Deadline-Ms   how long the caller will wait
+//	Bv-Deadline-Ms   how long the caller waits, in ms
 //	Bv-Unrepeatable  true: the request runs at most once
 //	Bv-Resent        true: the request was sent before; a refusal then never
-//	                 says that it was not run
+//	                 has the verdict "not run"
 //	Bv-History       append (default): the body has only new messages; full: all
 //
-// Each answer bears Bv-Trace, the id by which its request stands in the log
-// lines of all hosts.
+// Each answer carries Bv-Trace, the trace id of the request in the log lines of
+// all hosts.
 package bvcaller
 
 import (
@@ -39,21 +39,22 @@
 	"balsamvalve.example/bvtrace"
 )
 
-// Entry takes calls to the owners of their programs.
+// Entry forwards calls to the owners of their programs.
 type Entry interface {
 	Run(ctx context.Context, call *bvpeer.Call, emit func(*bvpeer.CallEvent) error) error
 	Fetch(ctx context.Context, member, program, request string) ([]byte, error)
 	EndProgram(ctx context.Context, member, program string) error
 }
 
-// Policy is what the operators' table and the lists say about a call.
+// Policy decides by the operators' table and the platform's lists whether a call is
+// admitted.
 type Policy interface {
-	// Admit returns a *bvverdict.Error when the host must not take new work,
+	// Admit returns a *bvverdict.Error when the host must not accept new calls,
 	// or when the member's row does not allow the model or service.
 	Admit(member, class string, call *bvpeer.Call) error
 }
 
-// Parts are what the API works with. All but Tracers must be set.
+// Parts are the dependencies of the API. All but Tracers must be set.
 type Parts struct {
 	Entry     Entry
 	Policy    Policy
@@ -75,7 +76,7 @@
 	tracers   trace.TracerProvider
 }
 
-// Measure counts what callers got.
+// Measure counts the answers and refusals that callers receive.
 type Measure interface {
 	CountAnswer()
 	CountRefusal(member string, err error)
@@ -101,10 +102,10 @@
 // Handler returns the routes.
 func (api *API) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/chat/completions", api.member(api.chat))
-	mux.HandleFunc("/v1/services/{service}/{path...}", api.member(api.service))
-	mux.HandleFunc("DELETE /v1/programs/{program}", api.member(api.endProgram))
-	mux.HandleFunc("GET /v1/programs/{program}/answers/{request}", api.member(api.fetch))
+	mux.HandleFunc("POST /v1/chat/completions", api.requireMember(api.handleChat))
+	mux.HandleFunc("/v1/services/{service}/{path...}", api.requireMember(api.handleService))
+	mux.HandleFunc("DELETE /v1/programs/{program}", api.requireMember(api.handleEndProgram))
+	mux.HandleFunc("GET /v1/programs/{program}/answers/{request}", api.requireMember(api.handleFetch))
 	return otelhttp.NewHandler(mux, "caller",
 		otelhttp.WithTracerProvider(api.tracers), otelhttp.WithPropagators(bvtrace.Propagator()))
 }
--- a/bvcaller/chat.go
+++ b/bvcaller/chat.go
@@ -13,12 +13,12 @@
 	"balsamvalve.example/bvverdict"
 )
 
-// defaultMaxTokens bounds an answer whose caller set no bound: a budget can
-// only be kept when the cost of a call has one.
+// defaultMaxTokens bounds an answer whose caller set no bound: a budget can only
+// be enforced if the cost of each call is bounded.
 const defaultMaxTokens = 4096
 
-// chatRequest is the part of a chat completion request that is understood
-// here; the other fields go to the engine as they are.
+// chatRequest holds the parsed fields of a chat completion request and, in
+// parameters, all others, which are passed to the engine unchanged.
 type chatRequest struct {
 	model        string
 	messages     json.RawMessage
@@ -28,20 +28,20 @@
 	parameters   []byte
 }
 
-func (api *API) chat(writer http.ResponseWriter, request *http.Request, member string) {
+func (api *API) handleChat(writer http.ResponseWriter, request *http.Request, member string) {
 	body, err := readBody(request)
 	if err != nil {
-		api.fail(writer, request, err)
+		api.writeError(writer, request, err)
 		return
 	}
 	chat, err := parseChat(body)
 	if err != nil {
-		api.fail(writer, request, err)
+		api.writeError(writer, request, err)
 		return
 	}
-	call, single, err := callOf(request, member, body)
+	call, single, err := readCall(request, member, body)
 	if err != nil {
-		api.fail(writer, request, err)
+		api.writeError(writer, request, err)
 		return
 	}
 	call.Streaming = chat.stream
@@ -52,21 +52,21 @@
 		MaxTokens:  chat.maxTokens,
 	}}
 	if err := api.policy.Admit(member, call.GetClass(), call); err != nil {
-		api.fail(writer, request, err)
+		api.writeError(writer, request, err)
 		return
 	}
 	if single {
-		defer api.endSingle(request.Context(), call)
+		defer api.endSingleCall(request.Context(), call)
 	}
 	if chat.stream {
-		api.stream(writer, request, chat, call)
+		api.respondStream(writer, request, chat, call)
 		return
 	}
-	api.whole(writer, request, call)
+	api.respond(writer, request, call)
 }
 
-// endSingle ends the program that was made for a call without one.
-func (api *API) endSingle(ctx context.Context, call *bvpeer.Call) {
+// endSingleCall ends the program that was created for a call without one.
+func (api *API) endSingleCall(ctx context.Context, call *bvpeer.Call) {
 	_ = api.entry.EndProgram(context.WithoutCancel(ctx), call.GetMember(), call.GetProgram())
 }
 
@@ -87,7 +87,7 @@
 		return nil, badRequest("the body is no JSON object: %v", err)
 	}
 	chat := &chatRequest{maxTokens: defaultMaxTokens}
-	if err := take(fields, "model", &chat.model); err != nil {
+	if err := takeField(fields, "model", &chat.model); err != nil {
 		return nil, err
 	}
 	if chat.model == "" {
@@ -96,18 +96,18 @@
 	if err := chat.takeMessages(fields); err != nil {
 		return nil, err
 	}
-	if err := take(fields, "stream", &chat.stream); err != nil {
+	if err := takeField(fields, "stream", &chat.stream); err != nil {
 		return nil, err
 	}
 	var options struct {
 		IncludeUsage bool `json:"include_usage"`
 	}
-	if err := take(fields, "stream_options", &options); err != nil {
+	if err := takeField(fields, "stream_options", &options); err != nil {
 		return nil, err
 	}
 	chat.includeUsage = options.IncludeUsage
 	for _, name := range []string{"max_tokens", "max_completion_tokens"} {
-		if err := take(fields, name, &chat.maxTokens); err != nil {
+		if err := takeField(fields, name, &chat.maxTokens); err != nil {
 			return nil, err
 		}
 	}
@@ -122,8 +122,9 @@
 	return chat, nil
 }
 
-// take decodes a field and removes it; an absent field changes nothing.
-func take(fields map[string]json.RawMessage, name string, target any) error {
+// takeField decodes a field and removes it from fields; an absent field leaves the
+// target unchanged.
+func takeField(fields map[string]json.RawMessage, name string, target any) error {
 	raw, found := fields[name]
 	if !found {
 		return nil
@@ -137,7 +138,7 @@
 
 func (chat *chatRequest) takeMessages(fields map[string]json.RawMessage) error {
 	var messages []json.RawMessage
-	if err := take(fields, "messages", &messages); err != nil {
+	if err := takeField(fields, "messages", &messages); err != nil {
 		return err
 	}
 	if len(messages) == 0 {
@@ -155,8 +156,8 @@
 	return nil
 }
 
-// run waits for the whole answer of a call.
-func (api *API) run(ctx context.Context, call *bvpeer.Call) (finished *bvpeer.Finished, err error) {
+// runCall runs a call and waits for its complete answer.
+func (api *API) runCall(ctx context.Context, call *bvpeer.Call) (finished *bvpeer.Finished, err error) {
 	err = api.entry.Run(ctx, call, func(event *bvpeer.CallEvent) error {
 		if event.GetFinished() != nil {
 			finished = event.GetFinished()
@@ -166,25 +167,25 @@
 	return finished, err
 }
 
-// whole answers with one body.
-func (api *API) whole(writer http.ResponseWriter, request *http.Request, call *bvpeer.Call) {
-	finished, err := api.run(request.Context(), call)
+// respond runs a call and sends its answer in one body, without streaming.
+func (api *API) respond(writer http.ResponseWriter, request *http.Request, call *bvpeer.Call) {
+	finished, err := api.runCall(request.Context(), call)
 	if err != nil {
-		api.fail(writer, request, err)
+		api.writeError(writer, request, err)
 		return
 	}
 	api.writeModel(writer, request, call.GetRequest(), finished.GetAnswer())
 }
 
-func (api *API) writeModel(writer http.ResponseWriter, request *http.Request, id string, kept []byte) {
-	answer, err := bvanswer.DecodeModel(kept)
+func (api *API) writeModel(writer http.ResponseWriter, request *http.Request, id string, persisted []byte) {
+	answer, err := bvanswer.DecodeModel(persisted)
 	if err != nil {
-		api.fail(writer, request, err)
+		api.writeError(writer, request, err)
 		return
 	}
 	body, err := json.Marshal(completionOf(id, answer))
 	if err != nil {
-		api.fail(writer, request, err)
+		api.writeError(writer, request, err)
 		return
 	}
 	api.measure.CountAnswer()
--- a/bvcaller/completion.go
+++ b/bvcaller/completion.go
@@ -6,12 +6,12 @@
 	"balsamvalve.example/bvanswer"
 )
 
-// The shapes below are those of the OpenAI chat completions API.
+// The types below encode the responses of the OpenAI chat completions API.
 
 type completion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
-	Created int64    `json:"created"` // seconds since 1970, as the API has it
+	Created int64    `json:"created"` // seconds since 1970, as the API specifies
 	Model   string   `json:"model"`
 	Choices []choice `json:"choices"`
 	Usage   *usage   `json:"usage,omitempty"`
--- a/bvcaller/failure.go
+++ b/bvcaller/failure.go
@@ -35,10 +35,10 @@
 	bvverdict.TooLarge:            http.StatusRequestEntityTooLarge,
 }
 
-// fail writes a typed error with its verdict. The cause stays out of it: it
-// can name another member's endpoint or program.
-func (api *API) fail(writer http.ResponseWriter, request *http.Request, err error) {
-	api.refused(request, err)
+// writeError writes a typed error with its verdict. It omits the cause, which can
+// name another member's endpoint or program.
+func (api *API) writeError(writer http.ResponseWriter, request *http.Request, err error) {
+	api.recordRefusal(request, err)
 	verdict := bvverdict.From(err)
 	writer.Header().Set("Content-Type", "application/json")
 	if verdict.RetryAfter() > 0 {
@@ -49,16 +49,16 @@
 		status = http.StatusInternalServerError
 	}
 	writer.WriteHeader(status)
-	_, _ = writer.Write(failureBody(verdict))
+	_, _ = writer.Write(errorBody(verdict))
 }
 
-// refused counts and logs an error that a caller gets.
-func (api *API) refused(request *http.Request, err error) {
+// recordRefusal counts and logs an error that is sent to a caller.
+func (api *API) recordRefusal(request *http.Request, err error) {
 	api.measure.CountRefusal(memberOf(request), err)
 	bvtrace.LogHop(request.Context(), api.log, "caller was refused", err)
 }
 
-func failureBody(verdict *bvverdict.Error) []byte {
+func errorBody(verdict *bvverdict.Error) []byte {
 	body, err := json.Marshal(struct {
 		Error any `json:"error"`
 	}{struct {
--- a/bvcaller/program.go
+++ b/bvcaller/program.go
@@ -5,35 +5,35 @@
 	"net/http"
 )
 
-// endProgram ends a program: nothing of it runs any more, and what engines
-// hold for it is released. Ending it twice is no error.
-func (api *API) endProgram(writer http.ResponseWriter, request *http.Request, member string) {
+// handleEndProgram ends a program: no call of it runs afterwards, and its cached
+// prefixes in engines are released. Ending a program twice is not an error.
+func (api *API) handleEndProgram(writer http.ResponseWriter, request *http.Request, member string) {
 	if err := api.entry.EndProgram(request.Context(), member, request.PathValue("program")); err != nil {
-		api.fail(writer, request, err)
+		api.writeError(writer, request, err)
 		return
 	}
 	writer.WriteHeader(http.StatusNoContent)
 }
 
-// fetch returns the kept answer of a request, in the form in which the request
-// would have been answered without streaming.
-func (api *API) fetch(writer http.ResponseWriter, request *http.Request, member string) {
+// handleFetch returns the persisted answer of a request, in the format of an answer
+// without streaming.
+func (api *API) handleFetch(writer http.ResponseWriter, request *http.Request, member string) {
 	id := request.PathValue("request")
-	kept, err := api.entry.Fetch(request.Context(), member, request.PathValue("program"), id)
+	persisted, err := api.entry.Fetch(request.Context(), member, request.PathValue("program"), id)
 	if err != nil {
-		api.fail(writer, request, err)
+		api.writeError(writer, request, err)
 		return
 	}
-	var kind struct {
+	var answer struct {
 		Status int `json:"status"`
 	}
-	if err := json.Unmarshal(kept, &kind); err != nil {
-		api.fail(writer, request, err)
+	if err := json.Unmarshal(persisted, &answer); err != nil {
+		api.writeError(writer, request, err)
 		return
 	}
-	if kind.Status != 0 {
-		api.writeService(writer, request, kept)
+	if answer.Status != 0 {
+		api.writeService(writer, request, persisted)
 		return
 	}
-	api.writeModel(writer, request, id, kept)
+	api.writeModel(writer, request, id, persisted)
 }
--- a/bvcaller/request.go
+++ b/bvcaller/request.go
@@ -16,7 +16,7 @@
 	"balsamvalve.example/bvverdict"
 )
 
-// Request headers of the caller API.
+// Headers of the caller API.
 const (
 	headerProgram      = "Bv-Program"
 	headerTurn         = "Bv-Turn"
@@ -27,24 +27,24 @@
 	headerUnrepeatable = "Bv-Unrepeatable"
 	headerHistory      = "Bv-History"
 	headerResent       = "Bv-Resent"
-	headerTrace        = "Bv-Trace" // of an answer
+	headerTrace        = "Bv-Trace" // response header
 )
 
-// maxName bounds ids that callers choose, in bytes.
-const maxName = 200
+// maxIDBytes bounds the ids that callers choose.
+const maxIDBytes = 200
 
 // maxDeadline bounds how long a call may take.
 const maxDeadline = bvclock.Hour
 
 type memberHandler func(writer http.ResponseWriter, request *http.Request, member string)
 
-// member lets only requests with a member's key through.
-func (api *API) member(next memberHandler) http.HandlerFunc {
+// requireMember passes only requests with the key of a member's caller to next.
+func (api *API) requireMember(next memberHandler) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		writer.Header().Set(headerTrace, bvtrace.ID(request.Context()))
-		member, role, found := api.ring.Find(bearer(request))
+		member, role, found := api.ring.Find(bearerToken(request))
 		if !found || role != bvkey.Caller {
-			api.fail(writer, request, bvverdict.Refuse(bvverdict.Unauthorized, "no member has this key"))
+			api.writeError(writer, request, bvverdict.Refuse(bvverdict.Unauthorized, "no member has this key"))
 			return
 		}
 		request.Body = http.MaxBytesReader(writer, request.Body, api.bodyLimit)
@@ -55,13 +55,13 @@
 // memberKey is the key of the member's name in a request's context.
 type memberKey struct{}
 
-// memberOf returns the member whose key the request bears; empty if none's.
+// memberOf returns the member that the request's key belongs to; empty if there is none.
 func memberOf(request *http.Request) string {
 	member, _ := request.Context().Value(memberKey{}).(string)
 	return member
 }
 
-func bearer(request *http.Request) string {
+func bearerToken(request *http.Request) string {
 	const prefix = "Bearer "
 	header := request.Header.Get("Authorization")
 	if len(header) <= len(prefix) || header[:len(prefix)] != prefix {
@@ -70,8 +70,9 @@
 	return header[len(prefix):]
 }
 
-// callOf reads the headers that every kind of call shares.
-func callOf(request *http.Request, member string, body []byte) (call *bvpeer.Call, single bool, err error) {
+// readCall builds a call from the headers that all kinds of call have in common.
+// single reports whether the call has no program and gets one of its own.
+func readCall(request *http.Request, member string, body []byte) (call *bvpeer.Call, single bool, err error) {
 	header := request.Header
 	call = &bvpeer.Call{
 		Member:      member,
@@ -80,11 +81,11 @@
 		Request:     header.Get(headerRequest),
 		Class:       header.Get(headerClass),
 		FullHistory: header.Get(headerHistory) == "full",
-		Digest:      digestOf(request, body),
+		Digest:      requestDigest(request, body),
 	}
 	for _, name := range []string{call.Program, call.Parent, call.Request, call.Class} {
-		if len(name) > maxName {
-			return nil, false, badRequest("an id is longer than %d bytes", maxName)
+		if len(name) > maxIDBytes {
+			return nil, false, badRequest("an id is longer than %d bytes", maxIDBytes)
 		}
 	}
 	if err := readTurn(header, call); err != nil {
@@ -132,7 +133,7 @@
 		return badRequest("%s must be a whole number of milliseconds", headerDeadline)
 	}
 	if deadline <= 0 {
-		return bvverdict.Refuse(bvverdict.DeadlinePassed, "the deadline had passed when the request came")
+		return bvverdict.Refuse(bvverdict.DeadlinePassed, "the deadline had passed when the request arrived")
 	}
 	call.DeadlineMs = min(deadline, int64(maxDeadline))
 	return nil
@@ -148,7 +149,7 @@
 		return badRequest("%s must be true or false", headerUnrepeatable)
 	}
 	if unrepeatable && header.Get(headerRequest) == "" {
-		// Without an id a repeat can't be told from a new request.
+		// Without an id a repeat can't be distinguished from a new request.
 		return badRequest("an unrepeatable request needs %s", headerRequest)
 	}
 	if unrepeatable && header.Get(headerProgram) == "" {
@@ -158,9 +159,9 @@
 	return nil
 }
 
-// readResent takes in that the caller has sent the request before. A host that
-// knows nothing of the first sending could otherwise say of the second that it
-// was not run, and the caller would take that for both.
+// readResent reads whether the caller has sent the request before. Otherwise a host
+// without a record of the first attempt could refuse the second with the verdict
+// "not run", and the caller would apply that to both.
 func readResent(header http.Header, call *bvpeer.Call) error {
 	text := header.Get(headerResent)
 	if text == "" {
@@ -178,8 +179,9 @@
 	return bvverdict.Refuse(bvverdict.BadRequest, reason, args...)
 }
 
-// digestOf tells a repeat of a request from another one under the same id.
-func digestOf(request *http.Request, body []byte) string {
+// requestDigest returns the digest by which a repeat of a request is distinguished
+// from a different request with the same id.
+func requestDigest(request *http.Request, body []byte) string {
 	hash := sha256.New()
 	_, _ = hash.Write([]byte(request.Method + " " + request.URL.RequestURI() + "\n"))
 	_, _ = hash.Write(body)
--- a/bvcaller/service.go
+++ b/bvcaller/service.go
@@ -7,15 +7,15 @@
 	"balsamvalve.example/bvpeer"
 )
 
-func (api *API) service(writer http.ResponseWriter, request *http.Request, member string) {
+func (api *API) handleService(writer http.ResponseWriter, request *http.Request, member string) {
 	body, err := readBody(request)
 	if err != nil {
-		api.fail(writer, request, err)
+		api.writeError(writer, request, err)
 		return
 	}
-	call, single, err := callOf(request, member, body)
+	call, single, err := readCall(request, member, body)
 	if err != nil {
-		api.fail(writer, request, err)
+		api.writeError(writer, request, err)
 		return
 	}
 	call.Target = &bvpeer.Call_Service{Service: &bvpeer.ServiceCall{
@@ -26,15 +26,15 @@
 		ContentType: request.Header.Get("Content-Type"),
 	}}
 	if err := api.policy.Admit(member, call.GetClass(), call); err != nil {
-		api.fail(writer, request, err)
+		api.writeError(writer, request, err)
 		return
 	}
 	if single {
-		defer api.endSingle(request.Context(), call)
+		defer api.endSingleCall(request.Context(), call)
 	}
-	finished, err := api.run(request.Context(), call)
+	finished, err := api.runCall(request.Context(), call)
 	if err != nil {
-		api.fail(writer, request, err)
+		api.writeError(writer, request, err)
 		return
 	}
 	api.writeService(writer, request, finished.GetAnswer())
@@ -48,10 +48,10 @@
 	return path
 }
 
-func (api *API) writeService(writer http.ResponseWriter, request *http.Request, kept []byte) {
-	answer, err := bvanswer.DecodeService(kept)
+func (api *API) writeService(writer http.ResponseWriter, request *http.Request, persisted []byte) {
+	answer, err := bvanswer.DecodeService(persisted)
 	if err != nil {
-		api.fail(writer, request, err)
+		api.writeError(writer, request, err)
 		return
 	}
 	api.measure.CountAnswer()
--- a/bvcaller/stream.go
+++ b/bvcaller/stream.go
@@ -11,16 +11,16 @@
 
 // eventStream writes server-sent events.
 type eventStream struct {
-	writer  http.ResponseWriter
-	request string
-	model   string
-	begun   bool
-	sent    bool // some text was sent
+	writer   http.ResponseWriter
+	request  string
+	model    string
+	started  bool
+	textSent bool
 }
 
 func (stream *eventStream) write(data []byte) error {
-	if !stream.begun {
-		stream.begun = true
+	if !stream.started {
+		stream.started = true
 		stream.writer.Header().Set("Content-Type", "text/event-stream")
 		stream.writer.Header().Set("Cache-Control", "no-store")
 	}
@@ -34,7 +34,7 @@
 	return http.NewResponseController(stream.writer).Flush()
 }
 
-func (stream *eventStream) chunk(chunk completion) error {
+func (stream *eventStream) writeChunk(chunk completion) error {
 	data, err := json.Marshal(chunk)
 	if err != nil {
 		return err
@@ -42,10 +42,10 @@
 	return stream.write(data)
 }
 
-// stream answers with server-sent events. The last chunk and [DONE] come only
-// after the answer is kept: a stream without them is incomplete, and the same
-// request sent again gets the whole answer.
-func (api *API) stream(writer http.ResponseWriter, request *http.Request, chat *chatRequest, call *bvpeer.Call) {
+// respondStream runs a call and answers with server-sent events. The last chunk and
+// [DONE] are sent only after the answer is persisted: a stream without them is
+// incomplete, and a repeat of the request gets the complete answer.
+func (api *API) respondStream(writer http.ResponseWriter, request *http.Request, chat *chatRequest, call *bvpeer.Call) {
 	stream := &eventStream{writer: writer, request: call.GetRequest(), model: chat.model}
 	var finished *bvpeer.Finished
 	err := api.entry.Run(request.Context(), call, func(event *bvpeer.CallEvent) error {
@@ -53,48 +53,48 @@
 			finished = event.GetFinished()
 			return nil
 		}
-		stream.sent = true
-		return stream.chunk(chunkOf(stream.request, stream.model, event.GetToken().GetText()))
+		stream.textSent = true
+		return stream.writeChunk(chunkOf(stream.request, stream.model, event.GetToken().GetText()))
 	})
 	if err != nil {
-		api.failStream(stream, request, err)
+		api.writeStreamError(stream, request, err)
 		return
 	}
-	if err := stream.finish(chat, finished); err != nil {
-		api.failStream(stream, request, err)
+	if err := stream.writeEnd(chat, finished); err != nil {
+		api.writeStreamError(stream, request, err)
 		return
 	}
 	api.measure.CountAnswer()
 }
 
-// failStream ends a stream with a typed error in place of [DONE].
-func (api *API) failStream(stream *eventStream, request *http.Request, err error) {
-	if !stream.begun {
-		api.fail(stream.writer, request, err)
+// writeStreamError ends a stream with a typed error in place of [DONE].
+func (api *API) writeStreamError(stream *eventStream, request *http.Request, err error) {
+	if !stream.started {
+		api.writeError(stream.writer, request, err)
 		return
 	}
-	api.refused(request, err)
-	_ = stream.write(failureBody(bvverdict.From(err)))
+	api.recordRefusal(request, err)
+	_ = stream.write(errorBody(bvverdict.From(err)))
 }
 
-func (stream *eventStream) finish(chat *chatRequest, finished *bvpeer.Finished) error {
+func (stream *eventStream) writeEnd(chat *chatRequest, finished *bvpeer.Finished) error {
 	answer, err := bvanswer.DecodeModel(finished.GetAnswer())
 	if err != nil {
 		return err
 	}
-	if !stream.sent && answer.Text != "" {
-		if err := stream.chunk(chunkOf(stream.request, answer.Model, answer.Text)); err != nil {
+	if !stream.textSent && answer.Text != "" {
+		if err := stream.writeChunk(chunkOf(stream.request, answer.Model, answer.Text)); err != nil {
 			return err
 		}
 	}
-	if err := stream.chunk(lastChunkOf(stream.request, answer)); err != nil {
+	if err := stream.writeChunk(lastChunkOf(stream.request, answer)); err != nil {
 		return err
 	}
 	if chat.includeUsage {
 		last := lastChunkOf(stream.request, answer)
 		last.Choices = []choice{}
 		last.Usage = usageOf(answer)
-		if err := stream.chunk(last); err != nil {
+		if err := stream.writeChunk(last); err != nil {
 			return err
 		}
 	}
