--- a/bvcommand/load_workspaces.go
+++ b/bvcommand/load_workspaces.go
@@ -57,7 +57,7 @@
 	if _, err := io.WriteString(command.OutOrStdout(), report.Text()); err != nil {
 		return err
 	}
-	if !report.Kept() {
+	if !report.AllPromisesHold() {
 		return errPromiseBroken
 	}
 	return nil
--- a/bvdemo/route.go
+++ b/bvdemo/route.go
@@ -61,14 +61,14 @@
 		Addresses: running.callerAddresses(), Workspaces: workspaces,
 		Programs: routePrograms, Concurrency: routeCallers, Seed: config.Seed,
 	}.Send(ctx)
-	report.Compare(site.Runs())
+	report.CheckRuns(site.Runs())
 	_, _ = fmt.Fprintf(config.Output, "%s\n%s\n", report.Text(), routeLine(report))
 	return report, nil
 }
 
 func routeLine(report *bvemulator.Report) string {
 	return fmt.Sprintf("demo: programs=%d finished=%d requests=%d mixed=%d twice=%d keys_forwarded=%d unknown_keys_served=%d",
-		report.Programs, report.Finished, report.Requests, report.Mixed, report.Twice, report.KeysForwarded, report.UnknownServed)
+		report.Programs, report.Finished, report.Requests, report.MixedAnswers, report.RunTwice, report.KeysForwarded, report.UnknownKeysServed)
 }
 
 func startHosts(ctx context.Context, store string) (*routeHosts, error) {
--- a/bvdemo/route_test.go
+++ b/bvdemo/route_test.go
@@ -10,8 +10,8 @@
 func TestRouteDemonstrationKeepsItsPromises(t *testing.T) {
 	report, err := RunRoute(t.Context(), Config{Seed: 1})
 	require.NoError(t, err)
-	require.True(t, report.Kept(), report.Text())
-	require.Zero(t, report.UnknownServed, report.Text())
+	require.True(t, report.AllPromisesHold(), report.Text())
+	require.Zero(t, report.UnknownKeysServed, report.Text())
 	for _, workspace := range report.Workspaces {
 		require.Positive(t, workspace.Answered, report.Text())
 	}
