--- a/bvdaemon/daemon.go
+++ b/bvdaemon/daemon.go
@@ -104,7 +104,7 @@
 	}
 	daemon.platform = daemon.platformClient()
 	daemon.view.SetSelf(daemon.hostEntry(bvplatform.HostLive))
-	daemon.peers = bvpeer.NewPool(daemon.peerCredentials(), daemon.traces.Tracers())
+	daemon.peers = bvpeer.NewPool(daemon.peerCredentials(), daemon.traces.TracerProvider())
 	daemon.table = newTable(daemon)
 	daemon.buildServers()
 	return daemon, nil
@@ -135,11 +135,11 @@
 		BodyLimit: daemon.settings.BodyLimit(),
 		Measure:   daemon.measures,
 		Log:       daemon.log,
-		Tracers:   daemon.traces.Tracers(),
+		Tracers:   daemon.traces.TracerProvider(),
 	})
 	daemon.caller = daemon.newHTTPServer(api.Handler())
 	daemon.operator = daemon.newHTTPServer(daemon.operatorHandler())
-	daemon.peer = grpc.NewServer(bvpeer.ServerOptions(daemon.peerCredentials(), daemon.traces.Tracers())...)
+	daemon.peer = grpc.NewServer(bvpeer.ServerOptions(daemon.peerCredentials(), daemon.traces.TracerProvider())...)
 	bvpeer.RegisterPeerServer(daemon.peer, &peerService{daemon: daemon})
 }
 
--- a/bvdaemon/follow.go
+++ b/bvdaemon/follow.go
@@ -15,13 +15,13 @@
 // is unavailable the last lists stay in use, corrected by this host's own
 // observations.
 func (daemon *Daemon) pollLists(ctx context.Context) {
-	hosts := bvlog.Outage{What: "platform's list of hosts", Log: daemon.log}
-	endpoints := bvlog.Outage{What: "platform's list of endpoints", Log: daemon.log}
-	ownEntry := bvlog.Outage{What: "platform's list of hosts, for this host's entry,", Log: daemon.log}
+	hosts := bvlog.Outage{Dependency: "platform's list of hosts", Log: daemon.log}
+	endpoints := bvlog.Outage{Dependency: "platform's list of endpoints", Log: daemon.log}
+	ownEntry := bvlog.Outage{Dependency: "platform's list of hosts, for this host's entry,", Log: daemon.log}
 	for ctx.Err() == nil {
-		ownEntry.Note(daemon.announce(ctx))
-		hosts.Note(daemon.pollHosts(ctx))
-		endpoints.Note(daemon.pollEndpoints(ctx))
+		ownEntry.Record(daemon.announce(ctx))
+		hosts.Record(daemon.pollHosts(ctx))
+		endpoints.Record(daemon.pollEndpoints(ctx))
 		daemon.shareSuspects(ctx)
 		sleep(ctx, daemon.settings.PollInterval())
 	}
--- a/bvlog/outage.go
+++ b/bvlog/outage.go
@@ -4,23 +4,23 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Outage tells the beginning and the end of a failure that is met again and
-// again: a line for each time would hide all others. Set What and Log before
-// use; it is not safe for concurrent use.
+// Outage logs the start and the end of a recurring failure: a line for each
+// failed attempt would bury all others. Set Dependency and Log before use; it
+// is not safe for concurrent use.
 type Outage struct {
-	What string // can't be reached
-	Log  logrus.FieldLogger
+	Dependency string // that can't be reached
+	Log        logrus.FieldLogger
 
 	failing bool
 }
 
-// Note takes in how the last try ended.
-func (outage *Outage) Note(err error) {
+// Record records the result of the last attempt.
+func (outage *Outage) Record(err error) {
 	switch {
 	case err != nil && !outage.failing:
-		outage.Log.WithError(err).Warn(outage.What + ": lost")
+		outage.Log.WithError(err).Warn(outage.Dependency + ": lost")
 	case err == nil && outage.failing:
-		outage.Log.Info(outage.What + ": regained")
+		outage.Log.Info(outage.Dependency + ": regained")
 	}
 	outage.failing = err != nil
 }
--- a/bvrouter/endpoint_follow.go
+++ b/bvrouter/endpoint_follow.go
@@ -34,7 +34,7 @@
 // followEndpoints keeps the list of endpoints up to date. It requests only changes, since
 // the full list is large if there are many endpoints.
 func (router *Router) followEndpoints(ctx context.Context) {
-	outage := bvlog.Outage{What: "list of endpoints", Log: router.log}
+	outage := bvlog.Outage{Dependency: "list of endpoints", Log: router.log}
 	if router.settings.FirstStart {
 		pause(ctx, firstReadDelay-router.clock.Now().Sub(router.started))
 	}
@@ -50,12 +50,12 @@
 			pause(ctx, retryInterval)
 			continue
 		case answer.changes.Next == 0:
-			outage.Note(unlessCanceled(ctx, err))
+			outage.Record(unlessCanceled(ctx, err))
 			router.recordMissedList()
 			pause(ctx, retryInterval)
 			continue
 		}
-		outage.Note(nil)
+		outage.Record(nil)
 		if err != nil {
 			router.log.WithError(err).WithField("endpoints", answer.changes.Unusable).Warn("entries of the list of endpoints can't be used")
 		}
--- a/bvrouter/follow.go
+++ b/bvrouter/follow.go
@@ -51,7 +51,7 @@
 
 // followRoutes keeps the desired state up to date.
 func (router *Router) followRoutes(ctx context.Context) {
-	outage := bvlog.Outage{What: "desired state", Log: router.log}
+	outage := bvlog.Outage{Dependency: "desired state", Log: router.log}
 	after, answeredEarly := int64(0), false
 	for ctx.Err() == nil {
 		requestedAt := router.clock.Now()
@@ -59,7 +59,7 @@
 		if fleet := router.fleet(); fleet.isLarge() {
 			wait = min(wait, relayedStateWait(router.settings.ApplyBound))
 			if !fleet.isReader() && router.refreshRoutesInTime(ctx, fleet.candidates()) {
-				outage.Note(nil)
+				outage.Record(nil)
 				pause(ctx, relayedStateWait(router.settings.ApplyBound)-router.clock.Now().Sub(requestedAt))
 				continue
 			}
@@ -73,7 +73,7 @@
 		if err != nil && regained {
 			continue // the store is reachable again, and never answers this request
 		}
-		outage.Note(unlessCanceled(ctx, err))
+		outage.Record(unlessCanceled(ctx, err))
 		if err != nil {
 			pause(ctx, retryInterval)
 			continue
--- a/bvrouter/hosts.go
+++ b/bvrouter/hosts.go
@@ -44,7 +44,7 @@
 
 // followHosts adds this host to the list and reads the list regularly.
 func (router *Router) followHosts(ctx context.Context) {
-	outage := bvlog.Outage{What: "list of hosts", Log: router.log}
+	outage := bvlog.Outage{Dependency: "list of hosts", Log: router.log}
 	for reads := 0; ctx.Err() == nil; reads++ {
 		// The list is read first: it shows whether a write whose answer was lost has
 		// taken effect.
@@ -52,7 +52,7 @@
 		if err == nil && router.isListingDue() {
 			err = router.listSelf(ctx)
 		}
-		outage.Note(unlessCanceled(ctx, err))
+		outage.Record(unlessCanceled(ctx, err))
 		if reads < firstHostsReads || err != nil || !router.isOnList || router.isFirstListDue() {
 			pause(ctx, firstHostsInterval)
 			continue
--- a/bvtrace/provider.go
+++ b/bvtrace/provider.go
@@ -101,8 +101,8 @@
 	)
 }
 
-// Tracers returns what the libraries begin spans by.
-func (provider *Provider) Tracers() api.TracerProvider {
+// TracerProvider returns the provider by which instrumented libraries start spans.
+func (provider *Provider) TracerProvider() api.TracerProvider {
 	return provider.sdk
 }
 
--- a/bvtrace/provider_test.go
+++ b/bvtrace/provider_test.go
@@ -18,7 +18,7 @@
 func record(t *testing.T, config bvtrace.Config) (id string) {
 	provider, err := bvtrace.New(t.Context(), config)
 	require.NoError(t, err)
-	ctx, root := provider.Tracers().Tracer("test").Start(context.Background(), "root")
+	ctx, root := provider.TracerProvider().Tracer("test").Start(context.Background(), "root")
 	ctx, span := bvtrace.Start(ctx, "hop")
 	span.SetEndpoint("engine-1")
 	id = bvtrace.ID(ctx)
