--- a/bvprocess/process_test.go
+++ b/bvprocess/process_test.go
@@ -23,12 +23,12 @@
 
 // process is a child process.
 type process struct {
-	t       testing.TB
-	name    string
-	command *exec.Cmd
-	line    string // its first line of output
-	logPath string // path of the file with its stderr
-	exited  chan error
+	t         testing.TB
+	name      string
+	command   *exec.Cmd
+	firstLine string // its first line of output
+	logPath   string // path of the file with its stderr
+	exited    chan error
 }
 
 // start starts the command with arguments and waits until it listens.
@@ -56,7 +56,7 @@
 	}()
 	t.Cleanup(func() { process.cleanUp(log) })
 	select {
-	case process.line = <-lines:
+	case process.firstLine = <-lines:
 	case <-time.After(startLimit):
 		t.Fatalf("%s did not start", name)
 	}
@@ -80,18 +80,18 @@
 
 // field returns the value of a name=value word of the first line.
 func (process *process) field(name string) string {
-	for _, word := range strings.Fields(process.line) {
+	for _, word := range strings.Fields(process.firstLine) {
 		if value, found := strings.CutPrefix(word, name+"="); found {
 			return value
 		}
 	}
-	process.t.Fatalf("%s printed no %s: %q", process.name, name, process.line)
+	process.t.Fatalf("%s printed no %s: %q", process.name, name, process.firstLine)
 	return ""
 }
 
 // address returns the address of a stand-in.
 func (process *process) address() string {
-	return strings.TrimPrefix(process.line, "listening ")
+	return strings.TrimPrefix(process.firstLine, "listening ")
 }
 
 func (process *process) signal(signal syscall.Signal) {
--- a/bvprocess/tls_test.go
+++ b/bvprocess/tls_test.go
@@ -75,7 +75,7 @@
 	secured.StartTLS()
 	t.Cleanup(secured.Close)
 	cluster := &cluster{t: t}
-	cluster.platform = &process{t: t, name: "platform", line: "listening " + plain.Listener.Addr().String()}
+	cluster.platform = &process{t: t, name: "platform", firstLine: "listening " + plain.Listener.Addr().String()}
 	cluster.engines = append(cluster.engines, cluster.startEngine(0, "--instant"))
 	arguments := []string{flag("platform-address", secured.Listener.Addr().String())}
 	for _, kind := range []string{"caller", "peer", "platform"} {
--- a/bvtable/editor.go
+++ b/bvtable/editor.go
@@ -49,8 +49,8 @@
 	return editor.Follower.Snapshot(), nil
 }
 
-// History returns at most limit changes below the given version, or the
-// newest if that is 0, from the newest to the oldest.
+// History returns at most limit changes below the given version, or the newest changes if that
+// is 0, newest first.
 func (editor *Editor) History(ctx context.Context, below int64, limit int) ([]Change, error) {
 	table, err := editor.Get(ctx)
 	if err != nil {
--- a/bvtable/proposal.go
+++ b/bvtable/proposal.go
@@ -61,10 +61,10 @@
 	}
 	var members []string
 	for _, share := range slices.Concat(proposal.Before, proposal.Shares) {
-		asked := share.Member == proposal.Member ||
+		skip := share.Member == proposal.Member ||
 			slices.Contains(proposal.Consents, share.Member) ||
 			slices.Contains(members, share.Member)
-		if !asked {
+		if !skip {
 			members = append(members, share.Member)
 		}
 	}
--- a/bvtable/storage.go
+++ b/bvtable/storage.go
@@ -139,7 +139,7 @@
 		return nil, err
 	}
 	if int64(len(changes)) != after-before {
-		return nil, fmt.Errorf("table: changes of versions %d to %d are no longer all in the store", before+1, after)
+		return nil, fmt.Errorf("table: changes of versions %d to %d are no longer all retained", before+1, after)
 	}
 	table := NewTable(before, rows)
 	for _, change := range changes {
