--- a/bvfleet/caps.go
+++ b/bvfleet/caps.go
@@ -12,22 +12,23 @@
 
 //go:generate stringer -type=CapWay -linecomment -output=capway_string.go
 
-// CapWay is a way to hold workspaces to their usage caps over all hosts.
+// CapWay is a strategy for enforcing workspaces' usage caps across all hosts.
 type CapWay int
 
-// The ways.
+// The strategies.
 const (
-	// SplitCaps gives each host the same part of each cap.
+	// SplitCaps gives each host an equal share of each cap.
 	SplitCaps CapWay = iota // split
 	// ReportedCaps goes by the usage that hosts report to each other.
 	ReportedCaps // told
-	// AllocatedCaps does so far from the cap, and asks the workspace's allocator near it.
+	// AllocatedCaps does so while usage is far from the cap, and queries the
+	// workspace's allocator when it is near.
 	AllocatedCaps // allocator
-	// CentralCaps asks the allocator for each request.
+	// CentralCaps queries the allocator for each request.
 	CentralCaps // central
 )
 
-// CapWays returns all ways.
+// CapWays returns all strategies.
 func CapWays() []CapWay { return []CapWay{SplitCaps, ReportedCaps, AllocatedCaps, CentralCaps} }
 
 // CapLoad is a load of workspaces with usage caps.
@@ -36,30 +37,31 @@
 	Hosts       int
 	Workspaces  int
 	RatePerHost float64 // requests a second
-	Headroom    float64 // of a cap, over the mean of its workspace's requests
+	Headroom    float64 // ratio of a cap to its workspace's mean request rate
 	Duration    bvclock.Duration
-	SurgeFactor float64          // factor of all requests in the middle third
-	HostsFail   bool             // all hosts are lost at two thirds
-	ReportLag   bvclock.Duration // within which hosts hear of each other's requests
-	// Unanswered is the share of the questions that the first allocator does not answer,
-	// so that the second one is asked.
+	SurgeFactor float64          // multiplies the request rate in the middle third
+	HostsFail   bool             // all hosts restart without state at two thirds
+	ReportLag   bvclock.Duration // time until hosts have each other's usage reports
+	// UnansweredShare is the fraction of requests that the first allocator does not
+	// answer, so that the host queries the standby.
 	UnansweredShare float64
 }
 
-// CapResult is what callers got.
+// CapResult holds the outcomes of the requests.
 type CapResult struct {
 	Requests int
 	Granted  int
-	// RefusedBelow are requests that were refused and that a single bucket for all hosts
-	// would have granted; RunAbove, those that ran and that it would have refused. What
-	// one has granted is missing for the next, so that their difference tells more.
+	// RefusedBelow counts requests that were refused although a single bucket for all
+	// hosts would have granted them; GrantedAbove counts the reverse. A request that
+	// only one of the two grants uses up tokens of that one and changes its later
+	// decisions, so compare the difference of the two counts.
 	RefusedBelow      int
 	GrantedAbove      int
-	WorstWindow       float64 // requests in a window, as a share of what the bounds allow
-	AllocatorRequests int     // questions to allocators
+	WorstWindow       float64 // most requests in a window, relative to the number that the bounds allow
+	AllocatorRequests int     // queries to allocators
 }
 
-// String shows the figures in one line.
+// String formats the figures as one line.
 func (result CapResult) String() string {
 	share := func(count int) float64 { return float64(count) / float64(max(result.Requests, 1)) }
 	return fmt.Sprintf("requests %d, run %.3f, refused below the cap %.4f, run above %.4f, worst window %.2f of the bound, asks a request %.3f",
@@ -67,32 +69,32 @@
 }
 
 const (
-	// A program sends this many requests, with a pause between two.
+	// capRequests is the number of requests of a program, with capPause between two.
 	capRequests = 18
 	capPause    = 120 * bvclock.Millisecond
-	// capSkew is the exponent by which workspaces differ in size.
+	// capSkew is the Zipf exponent of the workspaces' sizes.
 	capSkew = 0.8
 	capStep = 10 * bvclock.Millisecond
 )
 
-// capBounds say how exactly caps must be kept.
+// capBounds are the tolerances with which caps must be enforced.
 var capBounds = bvquota.Bounds{Window: 5 * bvclock.Second, OverRatio: 0.1, Slack: 20}
 
-// capPlay is a load under way.
+// capSimulation is a running simulation of a CapLoad.
 type capSimulation struct {
-	load    CapLoad
-	way     CapWay
-	random  *rand.Rand
-	clock   *bvclock.Manual
-	hosts   []*capHost
-	caps    []bvquota.Cap
-	weights []float64
-	single  *bvquota.Limiter // of all hosts at once
-	due     map[bvclock.Time][]int
-	mail    map[bvclock.Time][]capMail
-	ran     [][]bvclock.Time // by workspace
-	result  CapResult
-	born    uint64
+	load          CapLoad
+	strategy      CapWay
+	random        *rand.Rand
+	clock         *bvclock.Manual
+	hosts         []*capHost
+	caps          []bvquota.Cap
+	weights       []float64
+	singleLimiter *bvquota.Limiter // the reference: one limiter for all hosts
+	due           map[bvclock.Time][]int
+	messages      map[bvclock.Time][]usageMessage
+	grantedAt     [][]bvclock.Time // by workspace
+	result        CapResult
+	hostsStarted  uint64
 }
 
 type capHost struct {
@@ -100,145 +102,145 @@
 	limiter *bvquota.Limiter
 }
 
-type capMail struct {
-	from uint64
-	uses []bvquota.Usage
+type usageMessage struct {
+	from  uint64
+	usage []bvquota.Usage
 }
 
 // SimulateCaps simulates a load to its end with one strategy.
-func SimulateCaps(load CapLoad, way CapWay) CapResult {
-	play := &capSimulation{
-		load: load, way: way, random: rand.New(rand.NewPCG(load.Seed, load.Seed)), clock: &bvclock.Manual{},
-		due: make(map[bvclock.Time][]int), mail: make(map[bvclock.Time][]capMail), ran: make([][]bvclock.Time, load.Workspaces),
+func SimulateCaps(load CapLoad, strategy CapWay) CapResult {
+	simulation := &capSimulation{
+		load: load, strategy: strategy, random: rand.New(rand.NewPCG(load.Seed, load.Seed)), clock: &bvclock.Manual{},
+		due: make(map[bvclock.Time][]int), messages: make(map[bvclock.Time][]usageMessage), grantedAt: make([][]bvclock.Time, load.Workspaces),
 	}
-	play.build()
+	simulation.build()
 	lostAt := bvclock.Time(load.Duration * 2 / 3)
-	for now := play.clock.Advance(capStep); now < bvclock.Time(load.Duration); now = play.clock.Advance(capStep) {
+	for now := simulation.clock.Advance(capStep); now < bvclock.Time(load.Duration); now = simulation.clock.Advance(capStep) {
 		if load.HostsFail && now >= lostAt && now < lostAt.Add(capStep) {
-			play.startHosts()
+			simulation.startHosts()
 		}
-		play.deliver(now)
-		play.begin(now)
-		for _, workspace := range play.due[now] {
-			play.request(now, workspace)
+		simulation.deliverUsage(now)
+		simulation.startPrograms(now)
+		for _, workspace := range simulation.due[now] {
+			simulation.sendRequest(now, workspace)
 		}
-		delete(play.due, now)
-		play.tell(now)
+		delete(simulation.due, now)
+		simulation.sendUsage(now)
 	}
-	play.result.WorstWindow = play.worstWindow()
-	return play.result
+	simulation.result.WorstWindow = simulation.worstWindow()
+	return simulation.result
 }
 
-func (play *capSimulation) build() {
+func (simulation *capSimulation) build() {
 	sum := 0.0
-	for rank := range play.load.Workspaces {
+	for rank := range simulation.load.Workspaces {
 		weight := math.Pow(float64(rank+1), -capSkew)
-		play.weights = append(play.weights, weight)
+		simulation.weights = append(simulation.weights, weight)
 		sum += weight
 	}
-	total := play.load.RatePerHost * float64(play.load.Hosts)
-	for rank := range play.weights {
-		play.weights[rank] /= sum
-		rate := math.Ceil(play.load.Headroom * total * play.weights[rank])
-		play.caps = append(play.caps, bvquota.Cap{Workspace: fmt.Sprintf("workspace-%d", rank), Rate: rate, Burst: rate})
+	total := simulation.load.RatePerHost * float64(simulation.load.Hosts)
+	for rank := range simulation.weights {
+		simulation.weights[rank] /= sum
+		rate := math.Ceil(simulation.load.Headroom * total * simulation.weights[rank])
+		simulation.caps = append(simulation.caps, bvquota.Cap{Workspace: fmt.Sprintf("workspace-%d", rank), Rate: rate, Burst: rate})
 	}
-	whole := capBounds
-	whole.StartFull = true
-	play.single = play.newLimiter(1, whole, play.caps)
-	play.hosts = make([]*capHost, play.load.Hosts)
-	play.startHosts()
+	bounds := capBounds
+	bounds.StartFull = true
+	simulation.singleLimiter = simulation.newLimiter(1, bounds, simulation.caps)
+	simulation.hosts = make([]*capHost, simulation.load.Hosts)
+	simulation.startHosts()
 }
 
-func (play *capSimulation) newLimiter(hosts int, bounds bvquota.Bounds, caps []bvquota.Cap) *bvquota.Limiter {
-	limiter := bvquota.New(play.clock, bounds)
-	limiter.SetHosts(hosts, hosts, play.load.ReportLag)
+func (simulation *capSimulation) newLimiter(hosts int, bounds bvquota.Bounds, caps []bvquota.Cap) *bvquota.Limiter {
+	limiter := bvquota.New(simulation.clock, bounds)
+	limiter.SetHosts(hosts, hosts, simulation.load.ReportLag)
 	limiter.SetCaps(caps)
 	return limiter
 }
 
-// startHosts starts all hosts anew.
-func (play *capSimulation) startHosts() {
-	caps, known, bounds := play.caps, play.load.Hosts, capBounds
-	bounds.StartFull = play.born == 0
-	if play.way == SplitCaps {
-		caps, known = make([]bvquota.Cap, len(play.caps)), 1
-		bounds.OverRatio, bounds.Slack = 0, 0 // it is for all hosts together
-		for i, limit := range play.caps {
-			part := 1 / float64(play.load.Hosts)
-			caps[i] = bvquota.Cap{Workspace: limit.Workspace, Rate: limit.Rate * part, Burst: max(limit.Burst*part, 1)}
+// startHosts replaces all hosts by new ones without state.
+func (simulation *capSimulation) startHosts() {
+	caps, knownHosts, bounds := simulation.caps, simulation.load.Hosts, capBounds
+	bounds.StartFull = simulation.hostsStarted == 0
+	if simulation.strategy == SplitCaps {
+		caps, knownHosts = make([]bvquota.Cap, len(simulation.caps)), 1
+		bounds.OverRatio, bounds.Slack = 0, 0 // they apply to all hosts together
+		for i, limit := range simulation.caps {
+			share := 1 / float64(simulation.load.Hosts)
+			caps[i] = bvquota.Cap{Workspace: limit.Workspace, Rate: limit.Rate * share, Burst: max(limit.Burst*share, 1)}
 		}
 	}
-	for i := range play.hosts {
-		play.born++
-		play.hosts[i] = &capHost{id: play.born, limiter: play.newLimiter(known, bounds, caps)}
+	for i := range simulation.hosts {
+		simulation.hostsStarted++
+		simulation.hosts[i] = &capHost{id: simulation.hostsStarted, limiter: simulation.newLimiter(knownHosts, bounds, caps)}
 	}
 }
 
-// begin draws the programs of this step.
-func (play *capSimulation) begin(now bvclock.Time) {
-	rate := play.load.RatePerHost * float64(play.load.Hosts) / capRequests
-	if third := bvclock.Time(play.load.Duration / 3); now >= third && now < 2*third {
-		rate *= play.load.SurgeFactor
+// startPrograms draws the programs that start in this step.
+func (simulation *capSimulation) startPrograms(now bvclock.Time) {
+	rate := simulation.load.RatePerHost * float64(simulation.load.Hosts) / capRequests
+	if third := bvclock.Time(simulation.load.Duration / 3); now >= third && now < 2*third {
+		rate *= simulation.load.SurgeFactor
 	}
 	for expected := rate * float64(capStep) / float64(bvclock.Second); expected > 0; expected-- {
-		if play.random.Float64() >= expected {
+		if simulation.random.Float64() >= expected {
 			continue
 		}
-		workspace := play.drawWorkspace()
+		workspace := simulation.drawWorkspace()
 		for number := range capRequests {
 			at := now.Add(bvclock.Duration(number) * capPause)
-			play.due[at] = append(play.due[at], workspace)
+			simulation.due[at] = append(simulation.due[at], workspace)
 		}
 	}
 }
 
-func (play *capSimulation) drawWorkspace() int {
-	draw := play.random.Float64()
-	for rank, weight := range play.weights {
+func (simulation *capSimulation) drawWorkspace() int {
+	draw := simulation.random.Float64()
+	for rank, weight := range simulation.weights {
 		if draw -= weight; draw < 0 {
 			return rank
 		}
 	}
-	return len(play.weights) - 1
+	return len(simulation.weights) - 1
 }
 
-// request plays one request through any host.
-func (play *capSimulation) request(now bvclock.Time, workspace int) {
-	host := play.hosts[play.random.IntN(len(play.hosts))]
-	request := bvquota.Request{Workspace: play.caps[workspace].Workspace}
-	wanted := play.single.TakeAsAllocator(request).Outcome == bvquota.Granted
-	decision := play.decide(host, request)
-	play.result.Requests++
+// sendRequest sends one request through a random host.
+func (simulation *capSimulation) sendRequest(now bvclock.Time, workspace int) {
+	host := simulation.hosts[simulation.random.IntN(len(simulation.hosts))]
+	request := bvquota.Request{Workspace: simulation.caps[workspace].Workspace}
+	grantable := simulation.singleLimiter.TakeAsAllocator(request).Outcome == bvquota.Granted
+	decision := simulation.decide(host, request)
+	simulation.result.Requests++
 	switch {
 	case decision.Outcome == bvquota.Granted:
-		play.result.Granted++
-		play.ran[workspace] = append(play.ran[workspace], now.Add(decision.Wait))
-		if !wanted {
-			play.result.GrantedAbove++
+		simulation.result.Granted++
+		simulation.grantedAt[workspace] = append(simulation.grantedAt[workspace], now.Add(decision.Wait))
+		if !grantable {
+			simulation.result.GrantedAbove++
 		}
-	case wanted:
-		play.result.RefusedBelow++
+	case grantable:
+		simulation.result.RefusedBelow++
 	}
 }
 
-func (play *capSimulation) decide(host *capHost, request bvquota.Request) bvquota.Decision {
+func (simulation *capSimulation) decide(host *capHost, request bvquota.Request) bvquota.Decision {
 	decision := bvquota.Decision{Outcome: bvquota.Ask}
-	if play.way != CentralCaps {
+	if simulation.strategy != CentralCaps {
 		decision = host.limiter.Take(request)
 	}
 	if decision.Outcome != bvquota.Ask {
 		return decision
 	}
-	first := int(bvquota.HashWorkspace(request.Workspace)) % len(play.hosts)
-	allocator, standby := play.hosts[first], play.random.Float64() < play.load.UnansweredShare
+	first := int(bvquota.HashWorkspace(request.Workspace)) % len(simulation.hosts)
+	allocator, standby := simulation.hosts[first], simulation.random.Float64() < simulation.load.UnansweredShare
 	if standby {
-		allocator = play.hosts[(first+1)%len(play.hosts)]
+		allocator = simulation.hosts[(first+1)%len(simulation.hosts)]
 	}
 	request.FromStandby = standby
-	if play.way == SplitCaps || play.way == ReportedCaps || allocator == host {
+	if simulation.strategy == SplitCaps || simulation.strategy == ReportedCaps || allocator == host {
 		return host.limiter.TakeAsAllocator(request)
 	}
-	play.result.AllocatorRequests++
+	simulation.result.AllocatorRequests++
 	decision = allocator.limiter.DecideClaim(host.id, host.limiter.OwnUsage(request.Workspace), request)
 	if decision.Outcome == bvquota.Granted {
 		host.limiter.RecordGrant(request.Workspace)
@@ -246,42 +248,43 @@
 	return decision
 }
 
-// tell sends what each host ran to all others, each host at its own moment.
-func (play *capSimulation) tell(now bvclock.Time) {
-	if play.way == SplitCaps {
+// sendUsage sends each host's usage to all others. The hosts send at staggered times.
+func (simulation *capSimulation) sendUsage(now bvclock.Time) {
+	if simulation.strategy == SplitCaps {
 		return
 	}
-	rounds := int64(max(play.load.ReportLag/capStep, 1))
-	for i, host := range play.hosts {
-		if (int64(now)/int64(capStep)+int64(i))%rounds == 0 {
+	stepsPerReport := int64(max(simulation.load.ReportLag/capStep, 1))
+	for i, host := range simulation.hosts {
+		if (int64(now)/int64(capStep)+int64(i))%stepsPerReport == 0 {
 			at := now.Add(capStep)
-			play.mail[at] = append(play.mail[at], capMail{host.id, host.limiter.RecentUsage()})
+			simulation.messages[at] = append(simulation.messages[at], usageMessage{host.id, host.limiter.RecentUsage()})
 		}
 	}
 }
 
-func (play *capSimulation) deliver(now bvclock.Time) {
-	for _, mail := range play.mail[now] {
-		for _, host := range play.hosts {
-			if host.id != mail.from {
-				host.limiter.RecordUsage(mail.from, mail.uses)
+func (simulation *capSimulation) deliverUsage(now bvclock.Time) {
+	for _, message := range simulation.messages[now] {
+		for _, host := range simulation.hosts {
+			if host.id != message.from {
+				host.limiter.RecordUsage(message.from, message.usage)
 			}
 		}
 	}
-	delete(play.mail, now)
+	delete(simulation.messages, now)
 }
 
-// worstWindow returns the most requests in a window, as a share of what the bounds allow.
-func (play *capSimulation) worstWindow() float64 {
+// worstWindow returns the most requests in a window, relative to the number that the
+// bounds allow.
+func (simulation *capSimulation) worstWindow() float64 {
 	worst := 0.0
-	for workspace, ran := range play.ran {
-		slices.Sort(ran)
-		limit := play.caps[workspace]
-		whole := limit.Rate*float64(capBounds.Window)/float64(bvclock.Second) + limit.Burst
-		allowed := whole*(1+capBounds.OverRatio) + capBounds.Slack
+	for workspace, times := range simulation.grantedAt {
+		slices.Sort(times)
+		limit := simulation.caps[workspace]
+		nominal := limit.Rate*float64(capBounds.Window)/float64(bvclock.Second) + limit.Burst
+		allowed := nominal*(1+capBounds.OverRatio) + capBounds.Slack
 		first := 0
-		for last, at := range ran {
-			for ran[first].Before(at.Add(-capBounds.Window)) {
+		for last, at := range times {
+			for times[first].Before(at.Add(-capBounds.Window)) {
 				first++
 			}
 			worst = max(worst, float64(last-first+1)/allowed)
--- a/bvfleet/caps_test.go
+++ b/bvfleet/caps_test.go
@@ -15,8 +15,8 @@
 	}
 }
 
-// Guards against windows above the cap, and against refusals below it, in a crowd.
-func TestAllocatorsKeepCapsInACrowdAndRefuseFewBelowThem(t *testing.T) {
+// Guards against windows above the cap, and against refusals below it, during a surge.
+func TestAllocatorsEnforceCapsInASurgeAndRefuseFewBelowThem(t *testing.T) {
 	allocated := SimulateCaps(capLoad(), AllocatedCaps)
 	require.LessOrEqual(t, allocated.WorstWindow, 1.0)
 	split := SimulateCaps(capLoad(), SplitCaps)
@@ -24,22 +24,22 @@
 	require.Less(t, allocated.AllocatorRequests, allocated.Requests)
 }
 
-// Guards against a loss of all hosts that grants caps twice.
-func TestAllocatorsKeepCapsThroughALossOfAllHosts(t *testing.T) {
+// Guards against caps that are granted twice after all hosts fail.
+func TestAllocatorsEnforceCapsAfterAllHostsFail(t *testing.T) {
 	load := capLoad()
 	load.HostsFail = true
 	require.LessOrEqual(t, SimulateCaps(load, AllocatedCaps).WorstWindow, 1.0)
 }
 
-// The measure itself must see a way that grants too much.
-func TestWorstWindowSeesCapsThatAreTooWide(t *testing.T) {
+// Guards against a WorstWindow that does not show a strategy that grants too much.
+func TestWorstWindowShowsCapsThatAreExceeded(t *testing.T) {
 	load := capLoad()
 	load.SurgeFactor = 6
 	load.ReportLag = 4 * bvclock.Second
 	require.Greater(t, SimulateCaps(load, ReportedCaps).WorstWindow, 1.0)
 }
 
-// Guards against a second allocator that has not heard what the first granted.
+// Guards against a standby allocator that does not know the first one's grants.
 func TestCapsHoldWhereDigestsAreSlow(t *testing.T) {
 	for seed := range uint64(4) {
 		result := SimulateCaps(CapLoad{
--- a/bvfleet/digest.go
+++ b/bvfleet/digest.go
@@ -5,49 +5,50 @@
 	"balsamvalve.example/bvroute"
 )
 
-// tellDigests tells each host of the others' calls and prompts, as their digests would.
-func (play *simulation) tellDigests() {
-	ofZone := make([]map[uint64]int, play.load.Zones) // calls of a zone's hosts
-	for zone := range ofZone {
-		ofZone[zone] = make(map[uint64]int)
+// exchangeDigests gives each host the other hosts' calls and prompts, as their digests
+// would.
+func (simulation *simulation) exchangeDigests() {
+	zoneCounts := make([]map[uint64]int, simulation.load.Zones) // calls of a zone's hosts
+	for zone := range zoneCounts {
+		zoneCounts[zone] = make(map[uint64]int)
 	}
-	for _, host := range play.hosts {
+	for _, host := range simulation.hosts {
 		for engine, running := range host.running {
-			ofZone[host.zone][engine] += running
+			zoneCounts[host.zone][engine] += running
 		}
 	}
-	for _, host := range play.hosts {
-		host.pool.SetPeerLoads(play.now, play.loadsFor(host, ofZone[host.zone]))
+	for _, host := range simulation.hosts {
+		host.pool.SetPeerLoads(simulation.now, simulation.peerLoads(host, zoneCounts[host.zone]))
 	}
-	for _, host := range play.hosts {
-		play.tellPlaced(host)
+	for _, host := range simulation.hosts {
+		simulation.sendPlacements(host)
 	}
 }
 
-// loadsFor returns the calls of the other hosts, as far as a host hears of them.
-func (play *simulation) loadsFor(host *host, mates map[uint64]int) map[uint64]int {
+// peerLoads returns the other hosts' calls that digests report to a host.
+func (simulation *simulation) peerLoads(host *host, zoneCalls map[uint64]int) map[uint64]int {
 	loads := make(map[uint64]int)
-	for _, engine := range play.engines {
-		loads[engine.hash] = mates[engine.hash] - host.running[engine.hash]
-		if play.load.GlobalDigests || engine.zone == host.zone {
+	for _, engine := range simulation.engines {
+		loads[engine.hash] = zoneCalls[engine.hash] - host.running[engine.hash]
+		if simulation.load.GlobalDigests || engine.zone == host.zone {
 			loads[engine.hash] = engine.calls() - host.running[engine.hash]
 		}
 	}
 	return loads
 }
 
-// tellPlaced tells what a host has placed to those of its zone, and to others what
-// concerns their engines.
-func (play *simulation) tellPlaced(teller *host) {
-	for _, host := range play.hosts {
-		if host == teller {
+// sendPlacements sends a host's new placements to the hosts of its zone, and to other
+// hosts only those on engines of their zone.
+func (simulation *simulation) sendPlacements(sender *host) {
+	for _, host := range simulation.hosts {
+		if host == sender {
 			continue
 		}
-		for _, placed := range teller.placed {
-			if host.zone == teller.zone || host.zone == play.byHash[placed.Endpoint].zone {
-				host.pool.AddPeerPlacement(placed.Endpoint, []bvroute.Part{placed.Part})
+		for _, placement := range sender.unsentPlacements {
+			if host.zone == sender.zone || host.zone == simulation.byHash[placement.Endpoint].zone {
+				host.pool.AddPeerPlacement(placement.Endpoint, []bvroute.Part{placement.Part})
 			}
 		}
 	}
-	teller.placed = []bvdispatch.Placement{}
+	sender.unsentPlacements = []bvdispatch.Placement{}
 }
--- a/bvfleet/engine.go
+++ b/bvfleet/engine.go
@@ -8,26 +8,26 @@
 	"balsamvalve.example/bvroute"
 )
 
-// unbounded stands for no bound on the number of parts: the bound is in tokens.
+// unbounded is the LRU's capacity in parts; the actual bound is in tokens.
 const unbounded = 1 << 30
 
-// engine is a model engine's row.
+// engine is the state of a model engine.
 type engine struct {
 	spec    Engine
 	id      string
 	hash    uint64
 	zone    int
-	waiting []*call // by urgency, then arrival
-	running []*call // in the order of their start
+	waiting []*call // by urgency, then by arrival
+	running []*call // in order of start
 
-	parts  *simplelru.LRU[uint64, int] // tokens by key
-	tokens int                         // of parts
-	read   int                         // tokens, since the beginning
+	cachedParts     *simplelru.LRU[uint64, int] // tokens by key
+	cachedTokens    int                         // of cachedParts
+	prefilledTokens int                         // since the start
 }
 
 func newEngine(spec Engine, id string, hash uint64, zone int) *engine {
 	engine := &engine{spec: spec, id: id, hash: hash, zone: zone}
-	engine.parts, _ = simplelru.NewLRU(unbounded, func(_ uint64, tokens int) { engine.tokens -= tokens })
+	engine.cachedParts, _ = simplelru.NewLRU(unbounded, func(_ uint64, tokens int) { engine.cachedTokens -= tokens })
 	return engine
 }
 
@@ -43,25 +43,25 @@
 	engine.waiting = slices.Insert(engine.waiting, at, sent)
 }
 
-func (engine *engine) cancel(gone *call) {
-	isGone := func(call *call) bool { return call == gone }
-	engine.waiting = slices.DeleteFunc(engine.waiting, isGone)
-	engine.running = slices.DeleteFunc(engine.running, isGone)
+func (engine *engine) cancel(canceled *call) {
+	isCanceled := func(call *call) bool { return call == canceled }
+	engine.waiting = slices.DeleteFunc(engine.waiting, isCanceled)
+	engine.running = slices.DeleteFunc(engine.running, isCanceled)
 }
 
-// step moves the engine by a millisecond and returns the calls that ended.
+// step advances the engine by a millisecond and returns the calls that ended.
 func (engine *engine) step() (ended []*call) {
 	engine.admit()
-	perToken := engine.spec.TokenTime + engine.spec.TokenTimePerCall*float64(len(engine.running))
-	if engine.readPrompt() {
-		perToken += float64(engine.spec.PrefillChunk) / engine.spec.PrefillRate
+	tokenTime := engine.spec.TokenTime + engine.spec.TokenTimePerCall*float64(len(engine.running))
+	if engine.prefillStep() {
+		tokenTime += float64(engine.spec.PrefillChunk) / engine.spec.PrefillRate
 	}
 	running := engine.running[:0]
 	for _, call := range engine.running {
-		if call.unread <= 0 {
-			call.left -= 1 / perToken
+		if call.unprefilled <= 0 {
+			call.outputLeft -= 1 / tokenTime
 		}
-		if call.left <= 0 {
+		if call.outputLeft <= 0 {
 			ended = append(ended, call)
 			continue
 		}
@@ -77,30 +77,30 @@
 		call := engine.waiting[0]
 		engine.waiting = engine.waiting[1:]
 		call.started = true
-		call.unread = float64(call.request.PromptTokens - engine.cached(call.request.Prefix))
-		engine.read += int(call.unread)
+		call.unprefilled = float64(call.request.PromptTokens - engine.cachedPrefixTokens(call.request.Prefix))
+		engine.prefilledTokens += int(call.unprefilled)
 		engine.running = append(engine.running, call)
-		engine.keep(call.request.Prefix)
+		engine.cachePrompt(call.request.Prefix)
 	}
 }
 
-// readPrompt reads of the first prompt that is not read yet; it reports whether there
-// was one.
-func (engine *engine) readPrompt() bool {
+// prefillStep prefills the first prompt that is not fully prefilled, for a millisecond.
+// It reports whether there was one.
+func (engine *engine) prefillStep() bool {
 	for _, call := range engine.running {
-		if call.unread > 0 {
-			call.unread -= engine.spec.PrefillRate
+		if call.unprefilled > 0 {
+			call.unprefilled -= engine.spec.PrefillRate
 			return true
 		}
 	}
 	return false
 }
 
-// cached returns how many tokens at the start of a prompt are in memory.
-func (engine *engine) cached(prefix []bvroute.Part) int {
+// cachedPrefixTokens returns how many tokens at the start of a prompt are cached.
+func (engine *engine) cachedPrefixTokens(prefix []bvroute.Part) int {
 	tokens := 0
 	for _, part := range prefix {
-		if !engine.parts.Contains(part.Key) {
+		if !engine.cachedParts.Contains(part.Key) {
 			break
 		}
 		tokens += part.Tokens
@@ -108,15 +108,16 @@
 	return tokens
 }
 
-// keep notes the use of a prompt. The parts that were not used for longest yield.
-func (engine *engine) keep(prefix []bvroute.Part) {
-	for _, part := range slices.Backward(prefix) { // the first parts are wanted longest
-		if !engine.parts.Contains(part.Key) {
-			engine.tokens += part.Tokens
+// cachePrompt records the use of a prompt's parts and evicts the least recently used
+// ones until the rest fit in the cache.
+func (engine *engine) cachePrompt(prefix []bvroute.Part) {
+	for _, part := range slices.Backward(prefix) { // the first parts must be evicted last
+		if !engine.cachedParts.Contains(part.Key) {
+			engine.cachedTokens += part.Tokens
 		}
-		engine.parts.Add(part.Key, part.Tokens)
+		engine.cachedParts.Add(part.Key, part.Tokens)
 	}
-	for engine.tokens > engine.spec.CacheTokens {
-		engine.parts.RemoveOldest()
+	for engine.cachedTokens > engine.spec.CacheTokens {
+		engine.cachedParts.RemoveOldest()
 	}
 }
--- a/bvfleet/load.go
+++ b/bvfleet/load.go
@@ -1,20 +1,21 @@
-// Package bvfleet plays a load of agent programs on many hosts before many model
-// engines, in virtual time, and tells what their callers got.
+// Package bvfleet simulates a load of agent programs on many hosts in front of many
+// model engines, in virtual time, and summarizes the outcomes for their callers.
 //
-// Each host decides with a bvdispatch.Pool of its own, on what it would have heard of
-// the others: digests, whose age is part of the load, and trackers. Engines batch
-// calls, read prompts between the tokens of calls that run, keep parts of prompts in a
-// bounded memory and admit calls by urgency. All is drawn from a seed and moves in
-// steps of a millisecond, so that two plays of one load are the same. Networks, the
-// platform and failures are not played. The engines are not those of bvmodel, whose
-// caches hold one prefix for each program: here many programs' prompts begin alike.
+// Each host decides with its own bvdispatch.Pool, based on the data that it would have
+// received from the others: digests, whose interval is part of the load, and trackers.
+// Engines batch calls, prefill prompts between the tokens of running calls, cache parts
+// of prompts in bounded memory and admit calls by urgency. All random values come from a
+// seed and time advances in steps of a millisecond, so two simulations of one load give
+// the same result. Networks, the platform and failures are not simulated. The engines
+// are not those of bvmodel, whose caches hold one prefix for each program: here many
+// programs share prompt prefixes.
 //
 // # Usage
 //
 //	load := bvfleet.SurgeLoad(295)
 //	load.Trackers = true
 //	result := bvfleet.Simulate(load)
-//	fmt.Println(result.InTime(), result.Late)
+//	fmt.Println(result.InTime, result.Late)
 package bvfleet
 
 import (
@@ -25,7 +26,7 @@
 	"balsamvalve.example/bvmechanism"
 )
 
-// Load is what is played. Fields without a default are needed.
+// Load describes a simulated load. Fields without a documented default are required.
 type Load struct {
 	Hosts    int
 	Zones    int
@@ -33,72 +34,73 @@
 	Engine   Engine
 	Kinds    []Kind
 	Surges   []Surge
-	Duration bvclock.Duration // for which programs begin
+	Duration bvclock.Duration // time during which programs start
 	Seed     uint64
 
-	// Workspaces is how many send programs, all alike; 0: programs are of none. What a
-	// crowd adds is of the first of them if Flood is set.
+	// Workspaces is the number of workspaces, which send programs at equal rates; with 0,
+	// programs have no workspace. The programs that a surge adds are all of the first
+	// workspace if SingleWorkspaceSurge is set.
 	Workspaces           int
 	SingleWorkspaceSurge bool
 
-	// Wanders is the share of turns that come through another host than the one before.
+	// HostChangeShare is the fraction of turns for which the program's host is drawn anew.
 	HostChangeShare float64
-	// DigestEvery is the time between two digests; nothing is told otherwise, but for
-	// trackers.
+	// DigestInterval is the time between two digests. Other than by digests, hosts share
+	// data only through trackers.
 	DigestInterval bvclock.Duration
-	// Totals: digests tell of the calls of all hosts at all engines. Without, hosts
-	// hear of other zones' engines only what their own zone's hosts do there.
+	// GlobalDigests makes digests report the calls of all hosts at all engines. Without
+	// it, hosts receive for other zones' engines only the calls of their own zone's hosts.
 	GlobalDigests bool
-	// Trackers tell how many calls an engine has, and where a conversation is, whenever
-	// they are asked.
+	// Trackers makes trackers available: they answer queries with an engine's current
+	// number of calls and with the engine that has a conversation cached.
 	Trackers bool
 	Disabled bvmechanism.Set
 }
 
-// Engine describes the engines; all are alike.
+// Engine describes the engines, which are all equal.
 type Engine struct {
 	Slots            int
 	CacheTokens      int     // tokens
 	PrefillRate      float64 // prompt tokens a millisecond
-	PrefillChunk     int     // prompt tokens that are read between two tokens of other calls
-	TokenTime        float64 // milliseconds for a token of a call that runs alone
-	TokenTimePerCall float64 // milliseconds added to it for each call that runs
+	PrefillChunk     int     // prompt tokens that are prefilled between two tokens of other calls
+	TokenTime        float64 // milliseconds for a token of a call that is alone in the batch
+	TokenTimePerCall float64 // milliseconds added to it for each running call
 }
 
-// Kind is a kind of programs.
+// Kind is a kind of program.
 type Kind struct {
 	Rate           float64
 	Priority       int
 	Turns          Lognormal
-	SharedPrefixes int       // how many long parts there are that its programs begin with
-	PrefixSize     Lognormal // tokens of such a part
+	SharedPrefixes int       // number of long prefixes that its programs share
+	PrefixSize     Lognormal // tokens of such a prefix
 	Input          Lognormal // tokens that a turn adds to the prompt
 	Output         Lognormal // tokens that a turn generates
 	Pause          Lognormal // milliseconds between two turns
-	// Slack is the time that a program has, as a multiple of its time on idle engines.
+	// Slack is the time in which a program should end, as a multiple of its time on
+	// idle engines.
 	Slack float64
 }
 
-// Surge multiplies the programs that begin for a while.
+// Surge multiplies the rate of starting programs for some time.
 type Surge struct {
 	Start, Duration bvclock.Duration
 	Factor          float64
 }
 
-// Lognormal is a lognormal size.
+// Lognormal is a lognormal distribution.
 type Lognormal struct {
 	Mean   float64
 	Spread float64 // standard deviation of its logarithm
 }
 
-func (size Lognormal) draw(random *rand.Rand) float64 {
-	return size.Mean * math.Exp(size.Spread*random.NormFloat64()-size.Spread*size.Spread/2)
+func (lognormal Lognormal) draw(random *rand.Rand) float64 {
+	return lognormal.Mean * math.Exp(lognormal.Spread*random.NormFloat64()-lognormal.Spread*lognormal.Spread/2)
 }
 
-// SurgeLoad is the load of a number of hosts with engines of few slots, at which a crowd
-// comes that the engines can just serve. Two kinds of programs, of about four and
-// eleven turns, begin with long parts that many share; an engine's memory holds half of
-// these.
+// SurgeLoad returns a load for a number of hosts with engines of few slots, with a surge
+// that the engines can just serve. Two kinds of programs, of about four and eleven
+// turns, start with long shared prefixes; an engine's memory holds half of these.
 func SurgeLoad(hosts int) Load {
 	engines := max(hosts*13/30, 6)
 	perEngine := float64(engines)
--- a/bvfleet/program.go
+++ b/bvfleet/program.go
@@ -8,26 +8,26 @@
 	"balsamvalve.example/bvroute"
 )
 
-// program is an agent program's row.
+// program is the state of an agent program.
 type program struct {
 	kind      *Kind
 	workspace string
-	begun     bvclock.Time
-	aim       bvclock.Duration
+	startedAt bvclock.Time
+	timeLimit bvclock.Duration
 	turns     []turn
-	at        int // the turn that is to come or under way
+	turnIndex int // the next turn, or the one in flight
 	host      int
-	ended     bvclock.Time // 0: not yet
+	endedAt   bvclock.Time // 0: not yet
 
-	prefix []bvroute.Part
-	tokens int // of prefix
-	tries  int // of the turn
-	sends  int // of the turn, each with its tries
-	failed bool
-	held   bvdispatch.HeldPrefix // where its last turn ran
+	prefix       []bvroute.Part
+	promptTokens int // of prefix
+	attempts     int // of the turn
+	sends        int // of the turn, each with its attempts
+	failed       bool
+	heldPrefix   bvdispatch.HeldPrefix // prompt cached by the engine of the last turn
 }
 
-// turn is one turn of a program, as it is drawn.
+// turn is one turn of a program, as drawn from the seed.
 type turn struct {
 	input  bvroute.Part
 	output float64 // tokens
@@ -36,64 +36,65 @@
 
 // call is a turn that was sent to an engine.
 type call struct {
-	program *program
-	request *bvdispatch.Request
-	host    int
-	engine  *engine
-	sentAt  bvclock.Time
-	urgency int
-	started bool
-	unread  float64 // tokens of the prompt that are still to be read
-	left    float64 // tokens still to be generated
-	over    bool
+	program     *program
+	request     *bvdispatch.Request
+	host        int
+	engine      *engine
+	sentAt      bvclock.Time
+	urgency     int
+	started     bool
+	unprefilled float64 // prompt tokens left to prefill
+	outputLeft  float64 // tokens left to generate
+	ended       bool
 }
 
-// draw makes a program of a kind that begins now.
-func (play *simulation) draw(kind int) *program {
-	spec := &play.load.Kinds[kind]
-	drawn := &program{kind: spec, begun: play.now, host: play.random.IntN(play.load.Hosts)}
-	drawn.extend(play.beginning(kind))
+// drawProgram draws a program of a kind that starts now.
+func (simulation *simulation) drawProgram(kind int) *program {
+	spec := &simulation.load.Kinds[kind]
+	drawn := &program{kind: spec, startedAt: simulation.now, host: simulation.random.IntN(simulation.load.Hosts)}
+	drawn.extend(simulation.drawSharedPrefix(kind))
 	idle := 0.0
-	for range max(1, int(math.Round(spec.Turns.draw(play.random)))) {
+	for range max(1, int(math.Round(spec.Turns.draw(simulation.random)))) {
 		turn := turn{
-			input:  play.newPart(spec.Input),
-			output: spec.Output.draw(play.random),
-			pause:  bvclock.Duration(spec.Pause.draw(play.random)),
+			input:  simulation.newPart(spec.Input),
+			output: spec.Output.draw(simulation.random),
+			pause:  bvclock.Duration(spec.Pause.draw(simulation.random)),
 		}
 		drawn.turns = append(drawn.turns, turn)
-		idle += float64(turn.input.Tokens)/play.load.Engine.PrefillRate + turn.output*play.load.Engine.TokenTime + float64(turn.pause+2*way)
+		idle += float64(turn.input.Tokens)/simulation.load.Engine.PrefillRate + turn.output*simulation.load.Engine.TokenTime + float64(turn.pause+2*callerLatency)
 	}
-	drawn.aim = bvclock.Duration(spec.Slack * idle)
+	drawn.timeLimit = bvclock.Duration(spec.Slack * idle)
 	drawn.extend(drawn.turns[0].input)
 	return drawn
 }
 
-// beginningSkew is by which power the use of a beginning falls with its rank.
-const beginningSkew = 0.7
+// prefixSkew is the Zipf exponent of the use of shared prefixes.
+const prefixSkew = 0.7
 
-// beginning draws one of the long parts that programs of a kind begin with.
-func (play *simulation) beginning(kind int) bvroute.Part {
-	parts := play.beginnings[kind]
+// drawSharedPrefix draws one of the long prefixes that programs of a kind share.
+func (simulation *simulation) drawSharedPrefix(kind int) bvroute.Part {
+	parts := simulation.sharedPrefixes[kind]
 	sum := 0.0
 	for i := range parts {
-		sum += math.Pow(float64(i+1), -beginningSkew)
+		sum += math.Pow(float64(i+1), -prefixSkew)
 	}
-	left := play.random.Float64() * sum
+	left := simulation.random.Float64() * sum
 	for i := range parts {
-		if left -= math.Pow(float64(i+1), -beginningSkew); left <= 0 {
+		if left -= math.Pow(float64(i+1), -prefixSkew); left <= 0 {
 			return parts[i]
 		}
 	}
 	return parts[len(parts)-1]
 }
 
-func (play *simulation) newPart(size Lognormal) bvroute.Part {
-	play.partsMade++
-	return bvroute.Part{Key: play.partsMade, Tokens: int(size.draw(play.random))}
+func (simulation *simulation) newPart(size Lognormal) bvroute.Part {
+	simulation.lastPartKey++
+	return bvroute.Part{Key: simulation.lastPartKey, Tokens: int(size.draw(simulation.random))}
 }
 
-// extend adds a part to the program's prompt. Calls under way keep theirs.
+// extend adds a part to the program's prompt. It copies the prompt, so that calls in
+// flight keep theirs.
 func (program *program) extend(part bvroute.Part) {
 	program.prefix = append(program.prefix[:len(program.prefix):len(program.prefix)], part)
-	program.tokens += part.Tokens
+	program.promptTokens += part.Tokens
 }
--- a/bvfleet/play_test.go
+++ b/bvfleet/simulation_test.go
@@ -8,7 +8,7 @@
 	"balsamvalve.example/bvmechanism"
 )
 
-func TestTwoPlaysOfOneLoadAreTheSame(t *testing.T) {
+func TestTwoSimulationsOfOneLoadAreTheSame(t *testing.T) {
 	load := SurgeLoad(30)
 	load.GlobalDigests, load.Trackers = true, true
 	require.Equal(t, Simulate(load), Simulate(load))
@@ -22,23 +22,24 @@
 	require.Zero(t, result.Refusals)
 }
 
-// Guards against hosts that send a crowd to full engines since they know a part of the load.
-func TestCrowdIsServedInTimeByHostsThatKnowTheEnginesLoad(t *testing.T) {
+// Guards against hosts that send a surge to full engines because they know only part of
+// the load.
+func TestSurgeIsServedInTimeByHostsThatKnowTheEnginesLoad(t *testing.T) {
 	load := SurgeLoad(150)
-	blind := Simulate(load)
+	ownZone := Simulate(load)
 	load.GlobalDigests = true
-	told := Simulate(load)
+	digests := Simulate(load)
 	load.Trackers = true
-	asked := Simulate(load)
-	require.Less(t, blind.ShareInTime(), 0.9)
-	require.Greater(t, told.ShareInTime(), blind.ShareInTime()+0.05)
-	require.Greater(t, asked.ShareInTime(), 0.98)
-	require.Less(t, asked.ShareWaited(), told.ShareWaited())
-	require.Less(t, asked.Read/asked.Sent, blind.Read/blind.Sent, "conversations stay where they are cached")
+	trackers := Simulate(load)
+	require.Less(t, ownZone.ShareInTime(), 0.9)
+	require.Greater(t, digests.ShareInTime(), ownZone.ShareInTime()+0.05)
+	require.Greater(t, trackers.ShareInTime(), 0.98)
+	require.Less(t, trackers.ShareWaited(), digests.ShareWaited())
+	require.Less(t, trackers.PrefilledTokens/trackers.SentTurns, ownZone.PrefilledTokens/ownZone.SentTurns, "conversations stay where they are cached")
 }
 
-// Guards against decisions by digests that are older than calls last.
-func TestTrackersMakeUpForOldDigests(t *testing.T) {
+// Guards against decisions based on digests that are older than the duration of calls.
+func TestTrackersCompensateForOldDigests(t *testing.T) {
 	load := SurgeLoad(60)
 	load.GlobalDigests, load.DigestInterval = true, 600
 	without := Simulate(load)
@@ -48,8 +49,8 @@
 	require.Greater(t, with.ShareInTime(), 0.97)
 }
 
-// Guards against a crowd beyond all engines that nobody is sent away from.
-func TestOfACrowdThatIsTooLargeSomeAreSentAway(t *testing.T) {
+// Guards against a surge beyond the engines' capacity of which no program is rejected.
+func TestSurgeBeyondCapacityIsPartlyRejected(t *testing.T) {
 	load := SurgeLoad(60)
 	load.GlobalDigests, load.Trackers = true, true
 	load.Surges[0].Factor = 3.5
@@ -62,8 +63,8 @@
 	t.Log(without)
 }
 
-// Guards against a flood of one workspace that costs the others their programs.
-func TestFloodOfAWorkspaceLeavesTheOthersMoreOfTheirPrograms(t *testing.T) {
+// Guards against a surge of one workspace that makes the others' programs fail.
+func TestSurgeOfAWorkspaceLeavesTheOthersMoreOfTheirPrograms(t *testing.T) {
 	load := SurgeLoad(85)
 	load.GlobalDigests, load.Trackers = true, true
 	load.Workspaces, load.SingleWorkspaceSurge = 20, true
