--- a/bvexperiment/affinity.go
+++ b/bvexperiment/affinity.go
@@ -5,9 +5,9 @@
 	"balsamvalve.example/bvgate"
 )
 
-// affinity sends a program's calls to the endpoint that ran its last one, and
-// a program's first call to the endpoint with the fewest calls that this
-// policy has sent and not seen end.
+// affinity sends a program's calls to the endpoint that ran its last one, and a
+// program's first call to the endpoint with the fewest calls that this policy has
+// sent and that have not finished.
 type affinity struct {
 	baseline
 	outstanding map[string]int
--- a/bvexperiment/capacity_peer_test.go
+++ b/bvexperiment/capacity_peer_test.go
@@ -22,7 +22,7 @@
 
 const capacityModel = "model-1"
 
-// permitService is a peer that only decides.
+// permitService is a peer that implements only Permit and Status.
 type permitService struct {
 	bvpeer.UnimplementedPeerServer
 	permits *bvpermit.Server
@@ -36,7 +36,7 @@
 	return &bvpeer.StatusReply{}, nil
 }
 
-// startPeer returns the address of a peer that decides for some engines.
+// startPeer starts a peer that decides for some engines, and returns its address.
 func startPeer(b *testing.B, engines int) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(b, err)
@@ -55,7 +55,7 @@
 	return listener.Addr().String()
 }
 
-// transferred counts the bytes of all connections, without TCP and IP.
+// transferred counts the bytes of all connections, without TCP and IP headers.
 var transferred atomic.Int64
 
 type countingListener struct{ net.Listener }
@@ -87,8 +87,8 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkCapacityPermit is a permit over gRPC on loopback from ask to finish.
-// The processor time is that of both hosts together.
+// BenchmarkCapacityPermit measures a permit over gRPC on loopback, from request to
+// finish. The processor time is that of both hosts together.
 func BenchmarkCapacityPermit(b *testing.B) {
 	withSizes(b, "engines", []int{19, 76, 304}, func(b *testing.B, size int) {
 		decider := bvplatform.Host{Name: "decider", PeerAddress: startPeer(b, size), State: bvplatform.HostLive}
@@ -117,8 +117,9 @@
 	})
 }
 
-// BenchmarkCapacityConnections is what an idle connection costs both hosts
-// together: heap, and what its keepalive pings take in a second.
+// BenchmarkCapacityConnections measures the cost of an idle connection for both hosts
+// together: its heap, and the bytes and processor time of its keepalive pings per
+// second.
 func BenchmarkCapacityConnections(b *testing.B) {
 	withSizes(b, "peers", []int{10, 50, 200}, func(b *testing.B, size int) {
 		addresses := make([]string, size)
@@ -126,10 +127,10 @@
 			addresses[at] = startPeer(b, 1)
 		}
 		const idle = 8 * time.Second
-		kept, bytes, used := 0.0, 0.0, time.Duration(0)
+		held, bytes, used := 0.0, 0.0, time.Duration(0)
 		for b.Loop() {
 			peers := &bvpeer.Pool{}
-			kept = heap(func() any {
+			held = heapGrowth(func() any {
 				for _, address := range addresses {
 					peer, err := peers.Peer(address)
 					require.NoError(b, err)
@@ -145,7 +146,7 @@
 			peers.Close()
 		}
 		perSecond := float64(size) * idle.Seconds()
-		b.ReportMetric(kept/float64(size), "heap-B/connection")
+		b.ReportMetric(held/float64(size), "heap-B/connection")
 		b.ReportMetric(bytes/perSecond, "wire-B/s/connection")
 		b.ReportMetric(float64(used.Microseconds())/perSecond, "cpu-us/s/connection")
 	})
--- a/bvexperiment/capacity_test.go
+++ b/bvexperiment/capacity_test.go
@@ -19,7 +19,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The benchmarks of this file give the slopes of docs/CAPACITY.md.
+// The benchmarks of this file measure the slopes in docs/CAPACITY.md.
 
 func withSizes(b *testing.B, name string, sizes []int, run func(b *testing.B, size int)) {
 	for _, size := range sizes {
@@ -27,19 +27,19 @@
 	}
 }
 
-// heap is what build leaves on the heap.
-func heap(build func() any) float64 {
+// heapGrowth returns the bytes of heap that the result of build occupies.
+func heapGrowth(build func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	kept := build()
+	held := build()
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	runtime.KeepAlive(kept)
+	runtime.KeepAlive(held)
 	return float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
 
-// BenchmarkCapacityCandidates is the cost of finding an owner or a deciding
+// BenchmarkCapacityCandidates measures the cost of finding an owner or a deciding
 // host.
 func BenchmarkCapacityCandidates(b *testing.B) {
 	withSizes(b, "hosts", []int{13, 100, 730}, func(b *testing.B, size int) {
@@ -57,15 +57,15 @@
 	})
 }
 
-const programsPerEngine = 33 // 140,000 programs before 4,200 engines
+const programsPerEngine = 33 // 140,000 programs on 4,200 engines
 
-// BenchmarkCapacityPoolMemory is what a pool keeps, with programs that pause.
+// BenchmarkCapacityPoolMemory measures the heap of a pool of paused programs.
 func BenchmarkCapacityPoolMemory(b *testing.B) {
 	withSizes(b, "engines", []int{19, 76, 304}, func(b *testing.B, size int) {
 		programs := size * programsPerEngine
 		bytes := 0.0
 		for b.Loop() {
-			bytes = heap(func() any { return filledPool(b, size, programs) })
+			bytes = heapGrowth(func() any { return filledPool(b, size, programs) })
 		}
 		b.ReportMetric(bytes, "heap-B")
 		b.ReportMetric(bytes/float64(programs), "B/program")
@@ -93,8 +93,8 @@
 	return pool
 }
 
-// keeper drives a ledger with a store that takes everything at once.
-type keeper struct {
+// ledgerDriver runs a ledger with a store that commits every entry immediately.
+type ledgerDriver struct {
 	ledger  *bvledger.Ledger
 	version int64
 	lastID  bvledger.CallID
@@ -102,44 +102,44 @@
 	writes  int
 }
 
-func newKeeper() *keeper {
-	return &keeper{ledger: bvledger.New("host-1/1")}
+func newLedgerDriver() *ledgerDriver {
+	return &ledgerDriver{ledger: bvledger.New("host-1/1")}
 }
 
-// turn carries one call of a program out and returns whether it was answered.
-func (keeper *keeper) turn(now bvclock.Time, program string, turn int, message []byte) bool {
-	keeper.lastID++
-	keeper.ledger.Submit(now, bvledger.Call{
-		ID: keeper.lastID, Key: bvledger.ProgramKey{Member: "piran", Program: program},
+// turn runs one call of a program and reports whether it was answered.
+func (driver *ledgerDriver) turn(now bvclock.Time, program string, turn int, message []byte) bool {
+	driver.lastID++
+	driver.ledger.Submit(now, bvledger.Call{
+		ID: driver.lastID, Key: bvledger.ProgramKey{Member: "piran", Program: program},
 		Request: fmt.Sprintf("r-%d", turn), Turn: turn, Digest: "d", Messages: message, Cost: 100,
 	})
 	answered := false
-	for effects := keeper.ledger.Tick(now); len(effects) > 0; effects = keeper.ledger.Tick(now) {
+	for effects := driver.ledger.Tick(now); len(effects) > 0; effects = driver.ledger.Tick(now) {
 		for _, effect := range effects {
-			answered = keeper.carryOut(now, effect, message) || answered
+			answered = driver.handleEffect(now, effect, message) || answered
 		}
 	}
 	return answered
 }
 
-func (keeper *keeper) carryOut(now bvclock.Time, effect bvledger.Effect, message []byte) bool {
+func (driver *ledgerDriver) handleEffect(now bvclock.Time, effect bvledger.Effect, message []byte) bool {
 	switch effect := effect.(type) {
 	case bvledger.Load:
 		rows := make([]bvplatform.Row, len(effect.Keys))
 		for at, key := range effect.Keys {
 			rows[at].Key = key
 		}
-		keeper.ledger.HandleRows(now, effect.Key, rows, nil)
+		driver.ledger.HandleRows(now, effect.Key, rows, nil)
 	case bvledger.Commit:
-		keeper.version++
-		keeper.writes++
+		driver.version++
+		driver.writes++
 		for _, put := range effect.Entry.Puts {
-			keeper.written += len(put.Key) + len(put.Value)
+			driver.written += len(put.Key) + len(put.Value)
 		}
-		keeper.ledger.HandleCommit(now, effect.Entry.ID, keeper.version, nil)
+		driver.ledger.HandleCommit(now, effect.Entry.ID, driver.version, nil)
 	case bvledger.Start:
-		keeper.ledger.MayStart(now, effect.Call)
-		keeper.ledger.Finish(now, effect.Call, bvledger.Result{
+		driver.ledger.MayStart(now, effect.Call)
+		driver.ledger.Finish(now, effect.Call, bvledger.Result{
 			Answer: message, Message: message, Spent: 100, Endpoint: "engine-1",
 		})
 	case bvledger.Answer:
@@ -148,70 +148,70 @@
 	return false
 }
 
-// message is a JSON array of one message of about a size.
+// message returns a JSON array with one message of about the given size.
 func message(size int) []byte {
 	return []byte(fmt.Sprintf(`[{"role":"user","content":"%s"}]`, bytes.Repeat([]byte("a"), size)))
 }
 
-// BenchmarkCapacityLedgerTurn is the cost of one more turn of a program with a
-// history of some turns of 2,000 bytes, and what it writes. A turn's answer is
-// of the same size.
+// BenchmarkCapacityLedgerTurn measures the cost of one more turn of a program with a
+// history of turns of 2,000 bytes, and the bytes and entries that it writes. A turn's
+// answer has the same size.
 func BenchmarkCapacityLedgerTurn(b *testing.B) {
 	withSizes(b, "turns", []int{10, 65, 260}, func(b *testing.B, size int) {
-		keeper := newKeeper()
+		driver := newLedgerDriver()
 		content := message(2000)
 		next := 1
 		for ; next <= size; next++ {
-			require.True(b, keeper.turn(1, "p", next, content))
+			require.True(b, driver.turn(1, "p", next, content))
 		}
-		keeper.written, keeper.writes = 0, 0
+		driver.written, driver.writes = 0, 0
 		turns := 0
 		b.ReportAllocs()
 		for b.Loop() {
 			if turns == size {
-				// A program stays near the size that is measured.
+				// Start a new program, so that its size stays near the one measured.
 				b.StopTimer()
-				keeper = newKeeper()
+				driver = newLedgerDriver()
 				for next = 1; next <= size; next++ {
-					keeper.turn(1, "p", next, content)
+					driver.turn(1, "p", next, content)
 				}
-				keeper.written, keeper.writes, turns = 0, 0, 0
+				driver.written, driver.writes, turns = 0, 0, 0
 				b.StartTimer()
 			}
-			keeper.turn(1, "p", next, content)
+			driver.turn(1, "p", next, content)
 			next++
 			turns++
 		}
-		b.ReportMetric(float64(keeper.written)/float64(max(turns, 1)), "written-B/turn")
-		b.ReportMetric(float64(keeper.writes)/float64(max(turns, 1)), "entries/turn")
+		b.ReportMetric(float64(driver.written)/float64(max(turns, 1)), "written-B/turn")
+		b.ReportMetric(float64(driver.writes)/float64(max(turns, 1)), "entries/turn")
 	})
 }
 
-// BenchmarkCapacityLedgerMemory is what a ledger keeps of its programs: 192
-// programs are a daemon's part of 140,000.
+// BenchmarkCapacityLedgerMemory measures the heap of a ledger for its programs: 192
+// programs are a daemon's share of 140,000.
 func BenchmarkCapacityLedgerMemory(b *testing.B) {
 	const programs = 192
 	content := message(2000)
 	withSizes(b, "turns", []int{4, 16, 64}, func(b *testing.B, size int) {
-		kept := 0.0
+		held := 0.0
 		for b.Loop() {
-			kept = heap(func() any {
-				keeper := newKeeper()
+			held = heapGrowth(func() any {
+				driver := newLedgerDriver()
 				for program := range programs {
 					for turn := 1; turn <= size; turn++ {
-						if !keeper.turn(1, fmt.Sprintf("p-%d", program), turn, content) {
+						if !driver.turn(1, fmt.Sprintf("p-%d", program), turn, content) {
 							b.Fatal("not answered")
 						}
 					}
 				}
-				return keeper
+				return driver
 			})
 		}
-		b.ReportMetric(kept/programs, "B/program")
+		b.ReportMetric(held/programs, "B/program")
 	})
 }
 
-// BenchmarkCapacityCommit is a group commit of entries of 2,000 bytes to a
+// BenchmarkCapacityCommit measures a group commit of entries of 2,000 bytes to a
 // store without latency.
 func BenchmarkCapacityCommit(b *testing.B) {
 	withSizes(b, "entries", []int{16, 64, 256}, func(b *testing.B, size int) {
@@ -251,7 +251,7 @@
 	})
 }
 
-// BenchmarkCapacityLists is the size of the platform's lists as JSON.
+// BenchmarkCapacityLists measures the size of the platform's lists as JSON.
 func BenchmarkCapacityLists(b *testing.B) {
 	withSizes(b, "hosts", []int{13, 100, 730}, func(b *testing.B, size int) {
 		list := make([]bvplatform.Host, size)
@@ -285,7 +285,7 @@
 	b.ReportMetric(float64(size), "B/list")
 }
 
-// BenchmarkCapacityPermitBytes is the payload of a permit between owner and
+// BenchmarkCapacityPermitBytes measures the payload of a permit between owner and
 // deciding host, without the frames of gRPC and TCP.
 func BenchmarkCapacityPermitBytes(b *testing.B) {
 	size := 0
--- a/bvexperiment/clairvoyant.go
+++ b/bvexperiment/clairvoyant.go
@@ -9,33 +9,32 @@
 	"balsamvalve.example/bvgate"
 )
 
-// clairvoyant knows how much service each program still needs and what each
-// endpoint has cached. It keeps one queue and serves the program with the
-// least remaining service first, at the endpoint that has its history cached or
-// at a free one with free memory. Nothing that serves users can do this; it shows how far
-// a policy could get.
+// clairvoyant knows how much service each program still needs and what each endpoint
+// has cached. It has one queue and serves the program with the least remaining service
+// first, at the endpoint that has its history cached or at a free one with free
+// memory. No real policy has this information; it shows what a policy could achieve.
 type clairvoyant struct {
 	baseline
 	oracle  oracle
-	queue   []foreseen
+	queue   []queuedRequest
 	running map[string]int
 	sentTo  map[bvgate.RequestID]string
 }
 
-type foreseen struct {
+type queuedRequest struct {
 	bvgate.Request
 	remaining float64
 }
 
-func (policy *clairvoyant) foresee(oracle oracle) { policy.oracle = oracle }
+func (policy *clairvoyant) setOracle(oracle oracle) { policy.oracle = oracle }
 
 // Submit implements Policy.
 func (policy *clairvoyant) Submit(_ bvclock.Time, request bvgate.Request) {
-	asked := foreseen{Request: request, remaining: policy.oracle.remaining(request.Program)}
-	at, _ := slices.BinarySearchFunc(policy.queue, asked, func(queued, asked foreseen) int {
-		return cmp.Or(cmp.Compare(queued.remaining, asked.remaining), cmp.Compare(queued.ID, asked.ID))
+	queued := queuedRequest{Request: request, remaining: policy.oracle.remaining(request.Program)}
+	at, _ := slices.BinarySearchFunc(policy.queue, queued, func(other, queued queuedRequest) int {
+		return cmp.Or(cmp.Compare(other.remaining, queued.remaining), cmp.Compare(other.ID, queued.ID))
 	})
-	policy.queue = slices.Insert(policy.queue, at, asked)
+	policy.queue = slices.Insert(policy.queue, at, queued)
 }
 
 // Finish implements Policy.
@@ -61,34 +60,34 @@
 	}
 }
 
-// slotSeconds is about how long a full endpoint takes to free a slot.
+// slotSeconds is the approximate time until a full endpoint frees a slot.
 const slotSeconds = 0.2
 
-// prefillHarm weighs the seconds of a prefill that a cached history would
-// save: all other calls at the endpoint wait for it too.
-const prefillHarm = 6
+// prefillPenalty is the weight of the seconds of a prefill that a cached history would
+// save: all other calls at the endpoint wait for the prefill too.
+const prefillPenalty = 6
 
 // Tick implements Policy.
 func (policy *clairvoyant) Tick(now bvclock.Time) []bvgate.Effect {
-	const horizon = 100 // how far down the queue a free slot is offered
+	const horizon = 100 // requests at the head of the queue to which a free slot is offered
 	free := policy.freeSlots()
 	waiters := make(map[string]int)
-	kept := policy.queue[:0]
-	for at, asked := range policy.queue {
+	remaining := policy.queue[:0]
+	for at, queued := range policy.queue {
 		if free == 0 || at >= horizon {
-			kept = append(kept, policy.queue[at:]...)
+			remaining = append(remaining, policy.queue[at:]...)
 			break
 		}
-		endpoint, wait := policy.choose(asked.Request, waiters)
+		endpoint, wait := policy.choose(queued.Request, waiters)
 		if wait || endpoint == "" {
 			waiters[endpoint]++
-			kept = append(kept, asked)
+			remaining = append(remaining, queued)
 			continue
 		}
-		policy.grant(asked.ID, endpoint)
+		policy.grant(queued.ID, endpoint)
 		free--
 	}
-	policy.queue = kept
+	policy.queue = remaining
 	return policy.baseline.Tick(now)
 }
 
@@ -110,15 +109,16 @@
 	policy.send(id, endpoint)
 }
 
-// room weighs free slots and free memory, which are both short at high load.
-func (policy *clairvoyant) room(endpoint bvgate.EndpointReport) float64 {
+// freeCapacity returns a weighted sum of free slots and free memory, which are both
+// scarce at high load.
+func (policy *clairvoyant) freeCapacity(endpoint bvgate.EndpointReport) float64 {
 	const memoryWeight = 0.5
 	slots := 1 - float64(policy.running[endpoint.Name])/float64(endpoint.Slots)
 	return slots + memoryWeight*policy.oracle.freeMemory(endpoint.Name)
 }
 
-// choose returns the free endpoint with the most room, or the one that
-// has the program's history cached where it is free or worth waiting for.
+// choose returns the endpoint that has the program's history cached if it is free or
+// worth waiting for, and otherwise the free endpoint with the most free capacity.
 func (policy *clairvoyant) choose(request bvgate.Request, waiters map[string]int) (name string, wait bool) {
 	freest := math.Inf(-1)
 	for _, endpoint := range policy.usable() {
@@ -127,12 +127,12 @@
 			if free {
 				return endpoint.Name, false
 			}
-			saved := prefillHarm * policy.oracle.prefillSeconds(cached)
+			saved := prefillPenalty * policy.oracle.prefillSeconds(cached)
 			if slotSeconds*float64(waiters[endpoint.Name]+1) < saved {
 				return endpoint.Name, true
 			}
 		}
-		if room := policy.room(endpoint); free && room > freest {
+		if room := policy.freeCapacity(endpoint); free && room > freest {
 			name, freest = endpoint.Name, room
 		}
 	}
--- a/bvexperiment/contender.go
+++ b/bvexperiment/contender.go
@@ -21,41 +21,41 @@
 	nameGateKilled  = "gate-killed"
 )
 
-// permitDelay is the way from an owner to the deciding host; a permit costs it
-// twice.
+// permitDelay is the one-way delay from an owner to the deciding host; a permit takes
+// it twice.
 const permitDelay = 1 * bvclock.Millisecond
 
 // contender is a policy in a scenario.
 type contender struct {
-	name     string
-	policy   func(seed uint64) Policy
-	delay    bvclock.Duration
-	baseline bool // something that a user would do without the product
+	name      string
+	newPolicy func(seed uint64) Policy
+	delay     bvclock.Duration
+	baseline  bool // an approach that needs no product
 }
 
 func standardContenders() []contender {
 	return []contender{
-		{name: nameRoundRobin, baseline: true, policy: func(uint64) Policy { return &roundRobin{} }},
-		{name: nameLeastLoad, baseline: true, policy: func(uint64) Policy { return &leastLoad{} }},
-		{name: nameAffinity, baseline: true, policy: func(uint64) Policy { return &affinity{} }},
-		{name: nameClairvoyant, policy: func(uint64) Policy { return &clairvoyant{} }},
-		{name: nameProduct, policy: newPool, delay: permitDelay},
+		{name: nameRoundRobin, baseline: true, newPolicy: func(uint64) Policy { return &roundRobin{} }},
+		{name: nameLeastLoad, baseline: true, newPolicy: func(uint64) Policy { return &leastLoad{} }},
+		{name: nameAffinity, baseline: true, newPolicy: func(uint64) Policy { return &affinity{} }},
+		{name: nameClairvoyant, newPolicy: func(uint64) Policy { return &clairvoyant{} }},
+		{name: nameProduct, newPolicy: newPool, delay: permitDelay},
 	}
 }
 
-// only returns some of the standard contenders.
-func only(names ...string) []contender {
+// selectContenders returns the standard contenders with the given names.
+func selectContenders(names ...string) []contender {
 	return slices.DeleteFunc(standardContenders(), func(contender contender) bool {
 		return !slices.Contains(names, contender.name)
 	})
 }
 
-// newPool returns the product's own decisions, told the speed of the engines as
-// operators would.
-func newPool(uint64) Policy { return tunedPool() }
+// newPool returns the product's own Pool, configured with the speed of the engines as
+// operators would configure it.
+func newPool(uint64) Policy { return newTunedPool() }
 
-func tunedPool() *bvgate.Pool {
-	config := usualPool().config
+func newTunedPool() *bvgate.Pool {
+	config := defaultPool().config
 	pool := &bvgate.Pool{}
 	pool.SetCost(bvgate.Cost{
 		PrefillRate: config.PrefillTokensPerSecond,
@@ -67,10 +67,10 @@
 
 func decisionContenders() []contender {
 	return []contender{
-		{name: nameTwoChoices, policy: newTwoChoices},
-		{name: nameQuotas, policy: newQuotas},
-		{name: nameGate, policy: newPool, delay: permitDelay},
-		{name: nameGateSlow, policy: newPool, delay: 2 * permitDelay},
-		{name: nameGateKilled, policy: newKilledGate, delay: permitDelay},
+		{name: nameTwoChoices, newPolicy: newTwoChoices},
+		{name: nameQuotas, newPolicy: newQuotas},
+		{name: nameGate, newPolicy: newPool, delay: permitDelay},
+		{name: nameGateSlow, newPolicy: newPool, delay: 2 * permitDelay},
+		{name: nameGateKilled, newPolicy: newKilledGate, delay: permitDelay},
 	}
 }
--- a/bvexperiment/endpoint.go
+++ b/bvexperiment/endpoint.go
@@ -8,14 +8,14 @@
 	"balsamvalve.example/bvmodel"
 )
 
-// endpoint is a model engine with its place and its life.
+// endpoint is a model engine with its zone and its lifecycle state.
 type endpoint struct {
 	name        string
 	zone        string
 	model       *bvmodel.Engine
 	incarnation int
 	down        bool
-	gone        bool // will not come back
+	stopped     bool // will not restart
 	leaving     bool
 	leavingAt   bvclock.Time
 	listed      bool // the list of live endpoints shows it
@@ -36,12 +36,12 @@
 	return endpoints
 }
 
-// changed notes that the model was touched.
-func (endpoint *endpoint) changed() {
+// updateNextEvent must be called after each change of the model.
+func (endpoint *endpoint) updateNextEvent() {
 	endpoint.nextAt, endpoint.hasNext = endpoint.model.Next()
 }
 
-// report is what the endpoint says of itself at a time.
+// report returns the endpoint's report at a time.
 func (endpoint *endpoint) report(now bvclock.Time) bvgate.EndpointReport {
 	return bvgate.EndpointReport{
 		Name:        endpoint.name,
--- a/bvexperiment/experiment.go
+++ b/bvexperiment/experiment.go
@@ -1,11 +1,11 @@
-// Package bvexperiment measures the product's own decisions against what a
-// user would do without them, in virtual time.
+// Package bvexperiment compares the product's own decisions with simple policies that
+// users could run without it, in virtual time.
 //
-// A Scenario is a workload of the brief's two members with what goes wrong in
-// it. Each of its contenders, a Policy, serves the same programs before the
-// same model engines of bvmodel. The product's contender is bvgate.Pool itself.
-// Programs are drawn from a seed before the run and are the same for each
-// policy. Nothing reads a clock, so two runs give the same figures.
+// A Scenario is a workload of two members with the faults that occur during it. Each of
+// its contenders, a Policy, serves the same programs with the same model engines of
+// bvmodel. The product's contender is bvgate.Pool itself. Programs are drawn from a seed
+// before the run and are the same for each policy. No code reads a clock, so two runs
+// give the same figures.
 //
 // # Usage
 //
@@ -21,21 +21,21 @@
 	"sync"
 )
 
-// DefaultSeeds is the least number of seeds for a figure that is published.
+// DefaultSeeds is the minimum number of seeds for a published figure.
 const DefaultSeeds = 5
 
 const defaultWorkers = 4
 
-// Options say what to run.
+// Options select what to run.
 type Options struct {
 	Seeds    int    // 5 if 0
 	Scenario string // all if empty
-	Workers  int    // runs side by side; 4 if 0
+	Workers  int    // concurrent runs; 4 if 0
 }
 
-// Run carries the scenarios out and collects the results in a fixed order.
+// Run runs the scenarios and collects the results in a fixed order.
 func Run(options Options) (*Report, error) {
-	scenarios, err := chosen(options.Scenario)
+	scenarios, err := selectScenarios(options.Scenario)
 	if err != nil {
 		return nil, err
 	}
@@ -46,12 +46,12 @@
 		options.Workers = defaultWorkers
 	}
 	report := &Report{Seeds: options.Seeds}
-	runs := report.plan(scenarios)
-	carryOut(runs, options.Workers)
+	runs := report.planRuns(scenarios)
+	runAll(runs, options.Workers)
 	return report, nil
 }
 
-func chosen(name string) ([]*Scenario, error) {
+func selectScenarios(name string) ([]*Scenario, error) {
 	all := Scenarios()
 	if name == "" {
 		return all, nil
@@ -64,12 +64,12 @@
 	return nil, fmt.Errorf("bvexperiment: no scenario %q", name)
 }
 
-// plan makes room for each result, so that the order in which the runs end
-// does not matter.
-func (report *Report) plan(scenarios []*Scenario) []func() {
+// planRuns returns the runs, and allocates a place for each result in advance, so that
+// the order in which the runs end does not matter.
+func (report *Report) planRuns(scenarios []*Scenario) []func() {
 	var runs []func()
 	for _, scenario := range scenarios {
-		programs := report.drawn(scenario)
+		programs := report.drawPrograms(scenario)
 		for _, contender := range scenario.contenders {
 			result := &Result{
 				Scenario: scenario.name, Policy: contender.name, Baseline: contender.baseline,
@@ -87,11 +87,11 @@
 	return runs
 }
 
-func seedOf(at int) uint64 { return uint64(at + 1) }
+func seedOf(index int) uint64 { return uint64(index + 1) }
 
-// drawn returns the programs of each seed, drawn once for all contenders,
-// which only read them.
-func (report *Report) drawn(scenario *Scenario) []func() []*spec {
+// drawPrograms returns a function for each seed that returns its programs. They are
+// drawn once for all contenders, which only read them.
+func (report *Report) drawPrograms(scenario *Scenario) []func() []*spec {
 	programs := make([]func() []*spec, report.Seeds)
 	for at := range programs {
 		programs[at] = sync.OnceValue(func() []*spec { return scenario.programs(seedOf(at)) })
@@ -99,7 +99,7 @@
 	return programs
 }
 
-func carryOut(runs []func(), workers int) {
+func runAll(runs []func(), workers int) {
 	queue := make(chan func())
 	var group sync.WaitGroup
 	for range workers {
--- a/bvexperiment/experiment_test.go
+++ b/bvexperiment/experiment_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// short cuts a scenario down to what a test needs.
+// short reduces a scenario to the duration that a test needs.
 func short(scenario *Scenario, contenders ...contender) *Scenario {
 	scenario.warmUp = 5000
 	scenario.duration = 40 * bvclock.Second
@@ -28,13 +28,13 @@
 }
 
 func product() contender {
-	return contender{name: nameProduct, policy: newPool, delay: permitDelay}
+	return contender{name: nameProduct, newPolicy: newPool, delay: permitDelay}
 }
 
 func TestTwoRunsPrintTheSame(t *testing.T) {
 	print := func() string {
 		report := &Report{Seeds: 2}
-		carryOut(report.plan([]*Scenario{short(usual(nameLoad80, "", 0.8))}), 3)
+		runAll(report.planRuns([]*Scenario{short(newScenario(nameLoad80, "", 0.8))}), 3)
 		var text bytes.Buffer
 		require.NoError(t, report.Write(&text))
 		return text.String()
@@ -51,15 +51,15 @@
 
 func TestEveryPolicyAnswersEveryProgramAtLowLoad(t *testing.T) {
 	for _, contender := range append(standardContenders(), decisionContenders()...) {
-		scenario := short(usual("low", "", 0.2))
+		scenario := short(newScenario("low", "", 0.2))
 		records, _ := runOne(scenario, contender)
 		require.Zero(t, records.failed, contender.name)
 		require.NotEmpty(t, records.samples, contender.name)
 	}
 }
 
-func TestLoadIsThePartOfTheSlotsThatProgramsOccupy(t *testing.T) {
-	pool := usualPool()
+func TestLoadIsTheFractionOfTheSlotsThatProgramsOccupy(t *testing.T) {
+	pool := defaultPool()
 	const span = 2000 * bvclock.Second
 	seconds := 0.0
 	for _, program := range brindleyMix().arrivals(3, 0.5, pool, 0, bvclock.Time(span)) {
@@ -72,14 +72,14 @@
 	random := rand.New(rand.NewPCG(1, 1))
 	shape := bookingShape()
 	shape.subAgents = 1
-	program := shape.program(random, piran, "p")
+	program := shape.drawProgram(random, piran, "p")
 	for at, step := range program.steps[:len(program.steps)-1] {
 		require.NotEmpty(t, step.children, at)
 		require.Equal(t, hostOf("p"), hostOf(step.children[0].key))
 	}
 }
 
-// neverReleases is a Pool whose releases get lost.
+// neverReleases is a Pool whose releases are lost.
 type neverReleases struct{ *bvgate.Pool }
 
 func (policy neverReleases) Tick(now bvclock.Time) []bvgate.Effect {
@@ -91,16 +91,16 @@
 
 // Guards against a measurement that does not show memory held for ended programs.
 func TestLostReleasesShowAsWaste(t *testing.T) {
-	broken := contender{policy: func(uint64) Policy { return neverReleases{tunedPool()} }}
-	_, kept := runOne(short(usual("usual", "", 0.5)), broken)
-	_, released := runOne(short(usual("usual", "", 0.5)), product())
-	require.Greater(t, kept.WastedEnded, 10*released.WastedEnded)
+	broken := contender{newPolicy: func(uint64) Policy { return neverReleases{newTunedPool()} }}
+	_, unreleased := runOne(short(newScenario("usual", "", 0.5)), broken)
+	_, released := runOne(short(newScenario("usual", "", 0.5)), product())
+	require.Greater(t, unreleased.WastedEnded, 10*released.WastedEnded)
 }
 
-// favours is a Pool that is told wrong weights.
-type favours struct{ *bvgate.Pool }
+// equalWeights is a Pool that receives the same weight for all members.
+type equalWeights struct{ *bvgate.Pool }
 
-func (policy favours) SetMembers(shares []bvgate.MemberShare) {
+func (policy equalWeights) SetMembers(shares []bvgate.MemberShare) {
 	shares = slices.Clone(shares)
 	for at := range shares {
 		shares[at].Weight = 1
@@ -110,7 +110,7 @@
 
 // Guards against a measurement that does not show a wrong share.
 func TestWrongWeightsShowAsShareError(t *testing.T) {
-	broken := contender{policy: func(uint64) Policy { return favours{tunedPool()} }}
+	broken := contender{newPolicy: func(uint64) Policy { return equalWeights{newTunedPool()} }}
 	backlogged := func() *Scenario {
 		scenario := backlog()
 		scenario.duration = 60 * bvclock.Second
@@ -122,10 +122,10 @@
 	require.Less(t, right.ShareMedian, 0.25)
 }
 
-// deaf never learns that an endpoint is leaving.
-type deaf struct{ *bvgate.Pool }
+// ignoresLeaving is a Pool that does not learn that an endpoint is leaving.
+type ignoresLeaving struct{ *bvgate.Pool }
 
-func (policy deaf) UpdateEndpoint(now bvclock.Time, report bvgate.EndpointReport) {
+func (policy ignoresLeaving) UpdateEndpoint(now bvclock.Time, report bvgate.EndpointReport) {
 	report.Leaving = false
 	policy.Pool.UpdateEndpoint(now, report)
 }
@@ -133,32 +133,32 @@
 // Guards against a measurement that does not show calls to a leaving engine.
 func TestCallsToALeavingEndpointAreCounted(t *testing.T) {
 	leaving := func() *Scenario {
-		scenario := short(usual("leaving", "", 0.8))
-		scenario.faults = []fault{leave(6000, "engine-03")}
+		scenario := short(newScenario("leaving", "", 0.8))
+		scenario.faults = []fault{leaveEndpoint(6000, "engine-03")}
 		return scenario
 	}
-	_, wrong := runOne(leaving(), contender{policy: func(uint64) Policy { return deaf{tunedPool()} }})
+	_, wrong := runOne(leaving(), contender{newPolicy: func(uint64) Policy { return ignoresLeaving{newTunedPool()} }})
 	_, right := runOne(leaving(), product())
 	require.Positive(t, wrong.SentToLeaving)
 	require.Zero(t, right.SentToLeaving)
 }
 
-// Guards against a measurement that does not show work done twice.
+// Guards against a measurement that does not show repeated work.
 func TestCrashedZoneCountsWorkDoneTwice(t *testing.T) {
-	scenario := short(usual("crash", "", 0.6))
+	scenario := short(newScenario("crash", "", 0.6))
 	scenario.faults = []fault{crashZone(10_000, "zone-1", 20*bvclock.Second)}
 	records, outcome := runOne(scenario, product())
 	require.Positive(t, records.crashLost)
-	require.Positive(t, outcome.Twice)
+	require.Positive(t, outcome.RepeatedWork)
 	require.Zero(t, records.failed)
 }
 
-// Guards against programs that are lost with the deciding host.
-func TestDeadDecidingHostLosesNoProgram(t *testing.T) {
-	scenario := usual("killed", "", 0.3)
+// Guards against programs that fail when the deciding host fails.
+func TestFailedDecidingHostFailsNoProgram(t *testing.T) {
+	scenario := newScenario("killed", "", 0.3)
 	scenario.warmUp, scenario.duration = faultAt-10_000, 40*bvclock.Second
 	scenario.measureFrom, scenario.measureTo = scenario.warmUp, scenario.end()
-	records, outcome := runOne(scenario, contender{policy: newKilledGate, delay: permitDelay})
+	records, outcome := runOne(scenario, contender{newPolicy: newKilledGate, delay: permitDelay})
 	require.Zero(t, records.failed)
 	require.Positive(t, outcome.Answers)
 }
@@ -170,25 +170,25 @@
 	require.Zero(t, percentile(nil, 0.5))
 }
 
-func TestRetryAfterIsComparedWithWhenRequestsWereTaken(t *testing.T) {
-	asks := []asked{
-		{call: 1, member: piran, at: 0, refused: true, refusedAt: 2, wait: 8002},
-		{call: 2, member: piran, at: 1000, refused: true, refusedAt: 1002, wait: 8000},
-		{call: 3, member: brindley, at: 1500},
-		{call: 1, member: piran, at: 4003},
-		{call: 4, member: piran, at: 5002},
+func TestRetryAfterIsComparedWithTheTimeOfAcceptance(t *testing.T) {
+	submissions := []submission{
+		{call: 1, member: piran, submittedAt: 0, refused: true, refusedAt: 2, retryAfter: 8002},
+		{call: 2, member: piran, submittedAt: 1000, refused: true, refusedAt: 1002, retryAfter: 8000},
+		{call: 3, member: brindley, submittedAt: 1500},
+		{call: 1, member: piran, submittedAt: 4003},
+		{call: 4, member: piran, submittedAt: 5002},
 	}
 	var outcome Outcome
-	outcome.summarizeRefusals(asks)
+	outcome.summarizeRefusals(submissions)
 	require.Equal(t, 2, outcome.Refusals)
-	require.InDelta(t, 4000, outcome.RetryReal, 1, "each waits for those before it")
-	require.InDelta(t, 2, outcome.RetryAfter, 0.01)
+	require.InDelta(t, 4000, outcome.RetryAfterActual, 1, "each request queues behind those refused before it")
+	require.InDelta(t, 2, outcome.RetryAfterFactor, 0.01)
 	require.InDelta(t, 2, outcome.RefusalDelay, 0)
 }
 
 func TestPlotWritesAFile(t *testing.T) {
 	report := &Report{Seeds: 1}
-	carryOut(report.plan([]*Scenario{short(usual("load-0.50", "", 0.5))}), 2)
+	runAll(report.planRuns([]*Scenario{short(newScenario("load-0.50", "", 0.5))}), 2)
 	require.NoError(t, report.Plot(t.TempDir()+"/latency.svg"))
 	require.Error(t, report.Plot(t.TempDir()+"/latency.unknown"))
 }
--- a/bvexperiment/fault.go
+++ b/bvexperiment/fault.go
@@ -5,87 +5,88 @@
 	"balsamvalve.example/bvgate"
 )
 
-// fault is something that goes wrong at a time.
+// fault is a failure that is injected at a given time.
 type fault struct {
-	at bvclock.Time
-	do func(simulation *simulation)
+	at     bvclock.Time
+	inject func(simulation *simulation)
 }
 
-// afterCrash is how long after a crash the work done twice is compared with
-// all work.
-const afterCrash = 30 * bvclock.Second
+// repeatedWorkWindow is the time after a crash in which the repeated work is compared
+// with all work.
+const repeatedWorkWindow = 30 * bvclock.Second
 
-// crashZone stops all endpoints of a zone for a while.
+// crashZone returns a fault that stops all endpoints of a zone for a given time.
 func crashZone(at bvclock.Time, zone string, downFor bvclock.Duration) fault {
 	return fault{at, func(simulation *simulation) {
-		simulation.records.servedAtCrash = simulation.served()
-		simulation.agenda.add(simulation.now.Add(afterCrash), func() {
-			simulation.records.servedAfterCrash = simulation.served()
+		simulation.records.workAtCrash = simulation.totalWork()
+		simulation.events.schedule(simulation.now.Add(repeatedWorkWindow), func() {
+			simulation.records.workAfterCrash = simulation.totalWork()
 		})
 		for _, endpoint := range simulation.endpoints {
 			if endpoint.zone == zone {
-				simulation.crash(endpoint, downFor)
+				simulation.crashEndpoint(endpoint, downFor)
 			}
 		}
 	}}
 }
 
-// leave lets an endpoint announce that it goes, and go some time later.
-func leave(at bvclock.Time, name string) fault {
+// leaveEndpoint returns a fault in which an endpoint announces that it is leaving, and
+// stops leavingLifetime later.
+func leaveEndpoint(at bvclock.Time, name string) fault {
 	return fault{at, func(simulation *simulation) {
 		leaving := simulation.byName[name]
 		leaving.leavingAt = simulation.now
 		leaving.leaving = true
-		simulation.agenda.add(simulation.now.Add(listLag), func() {
-			simulation.deliver(leaving, leaving.report(simulation.now))
+		simulation.events.schedule(simulation.now.Add(listLag), func() {
+			simulation.deliverReport(leaving, leaving.report(simulation.now))
 		})
-		simulation.agenda.add(simulation.now.Add(leavingLifetime), func() {
+		simulation.events.schedule(simulation.now.Add(leavingLifetime), func() {
 			before := simulation.records.crashLost
-			leaving.gone = true
-			simulation.crash(leaving, 0)
+			leaving.stopped = true
+			simulation.crashEndpoint(leaving, 0)
 			simulation.records.cutOff += simulation.records.crashLost - before
 		})
 	}}
 }
 
-// crash stops an endpoint. Owners see their connections break at once; the
-// list shows it later.
-func (simulation *simulation) crash(crashed *endpoint, downFor bvclock.Duration) {
+// crashEndpoint stops an endpoint. Owners see their connections break immediately; the
+// list shows the change after listLag.
+func (simulation *simulation) crashEndpoint(crashed *endpoint, downFor bvclock.Duration) {
 	if crashed.down {
 		return
 	}
-	simulation.advance(crashed)
+	simulation.advanceEndpoint(crashed)
 	crashed.down = true
 	crashed.incarnation++
 	simulation.loseCalls(crashed)
-	simulation.agenda.add(simulation.now.Add(listLag), func() { simulation.unlist(crashed) })
-	if crashed.gone {
+	simulation.events.schedule(simulation.now.Add(listLag), func() { simulation.removeFromList(crashed) })
+	if crashed.stopped {
 		return
 	}
-	simulation.agenda.add(simulation.now.Add(downFor), func() { crashed.down = false })
-	simulation.agenda.add(simulation.now.Add(downFor+listLag), func() { simulation.list(crashed) })
+	simulation.events.schedule(simulation.now.Add(downFor), func() { crashed.down = false })
+	simulation.events.schedule(simulation.now.Add(downFor+listLag), func() { simulation.addToList(crashed) })
 }
 
 func (simulation *simulation) loseCalls(crashed *endpoint) {
 	for _, call := range simulation.inFlight(crashed) {
-		simulation.records.lose(crashed.model.CallService(call.model.ID))
+		simulation.records.recordLostCall(crashed.model.CallService(call.model.ID))
 	}
 	lost := crashed.model.Crash(simulation.now)
-	crashed.changed()
+	crashed.updateNextEvent()
 	for _, id := range lost {
-		simulation.repeat(simulation.calls[bvgate.RequestID(id)])
+		simulation.repeatCall(simulation.calls[bvgate.RequestID(id)])
 	}
 }
 
-// repeat asks again for a call that a crash cut off.
-func (simulation *simulation) repeat(call *call) {
+// repeatCall submits a call again that a crash interrupted.
+func (simulation *simulation) repeatCall(call *call) {
 	call.repeats++
-	simulation.finishFailed(call, bvgate.Crashed)
+	simulation.reportFailure(call, bvgate.Crashed)
 	if call.repeats > maxRepeats {
-		simulation.fail(call)
+		simulation.failProgram(call)
 		return
 	}
-	simulation.askAgain(call)
+	simulation.submit(call)
 }
 
 // inFlight returns the calls at an endpoint, oldest first.
@@ -99,42 +100,42 @@
 	return found
 }
 
-func (simulation *simulation) unlist(crashed *endpoint) {
+func (simulation *simulation) removeFromList(crashed *endpoint) {
 	if !crashed.down {
 		return
 	}
 	crashed.listed = false
-	simulation.tell(func() { simulation.policy.RemoveEndpoint(simulation.now, crashed.name) })
+	simulation.notifyPolicy(func() { simulation.policy.RemoveEndpoint(simulation.now, crashed.name) })
 }
 
-func (simulation *simulation) list(restarted *endpoint) {
+func (simulation *simulation) addToList(restarted *endpoint) {
 	restarted.listed = true
 	report := restarted.report(simulation.now)
-	simulation.tell(func() { simulation.policy.UpdateEndpoint(simulation.now, report) })
+	simulation.notifyPolicy(func() { simulation.policy.UpdateEndpoint(simulation.now, report) })
 }
 
-// planReports lets an endpoint report its load again and again; each report
-// arrives late, and some not at all.
-func (simulation *simulation) planReports(from *endpoint) {
-	reports := simulation.scenario.reports
-	simulation.agenda.add(simulation.now.Add(reports.every), func() {
-		if simulation.now.After(simulation.end.Add(drain)) {
+// scheduleReports makes an endpoint report its load periodically; each report arrives
+// late, and some are lost.
+func (simulation *simulation) scheduleReports(from *endpoint) {
+	reports := simulation.scenario.reporting
+	simulation.events.schedule(simulation.now.Add(reports.interval), func() {
+		if simulation.now.After(simulation.end.Add(drainTime)) {
 			return
 		}
-		simulation.planReports(from)
-		if from.down || simulation.random.Float64() < reports.lost {
+		simulation.scheduleReports(from)
+		if from.down || simulation.random.Float64() < reports.lossRate {
 			return
 		}
 		report := from.report(simulation.now)
-		simulation.agenda.add(simulation.now.Add(reports.lag), func() { simulation.deliver(from, report) })
+		simulation.events.schedule(simulation.now.Add(reports.lag), func() { simulation.deliverReport(from, report) })
 	})
 }
 
-func (simulation *simulation) deliver(from *endpoint, report bvgate.EndpointReport) {
+func (simulation *simulation) deliverReport(from *endpoint, report bvgate.EndpointReport) {
 	if !from.listed || report.Incarnation != from.report(simulation.now).Incarnation {
 		return
 	}
 	report.Leaving = from.leaving && !simulation.now.Before(from.leavingAt.Add(listLag))
-	simulation.touched = true
+	simulation.policyNotified = true
 	simulation.policy.UpdateEndpoint(simulation.now, report)
 }
--- a/bvexperiment/goal.go
+++ b/bvexperiment/goal.go
@@ -5,9 +5,9 @@
 	"math"
 )
 
-// Measure is a figure of the product against a goal. Ratio is the product's
-// figure over that of what it is compared with; where the goal is a figure by
-// itself, Ratio is that figure.
+// Measure compares a figure of the product with a goal. Ratio is the product's figure
+// divided by that of the policy in Against; if the goal is an absolute figure, Ratio
+// is the product's figure itself.
 type Measure struct {
 	Name    string  `json:"name"`
 	Ratio   float64 `json:"ratio"`
@@ -18,7 +18,7 @@
 // Met reports whether the goal is met.
 func (measure Measure) Met() bool { return measure.Ratio <= measure.Goal }
 
-func (measure Measure) line() string {
+func (measure Measure) textLine() string {
 	verdict := "missed"
 	if measure.Met() {
 		verdict = "met"
@@ -40,7 +40,7 @@
 	goalNone        = 0
 )
 
-// Names of scenarios that the goals speak of.
+// Names of scenarios that the goals refer to.
 const (
 	nameUnloaded    = "unloaded"
 	nameLoad80      = "load-0.80"
@@ -55,8 +55,7 @@
 	nameOverload    = "load-1.20"
 )
 
-// Measures compares the product with the goals, as far as the scenarios that
-// were run allow.
+// Measures compares the product with all goals for whose scenarios results exist.
 func (report *Report) Measures() []Measure {
 	var measures []Measure
 	add := func(measure Measure, ok bool) {
@@ -72,22 +71,22 @@
 	}
 	add(report.against("p50-at-0.80-clairvoyant", nameLoad80, nameLoad80, nameClairvoyant, latencyP50, goalClairvoyant))
 	for _, scenario := range []string{nameLoad80, nameLongPauses, nameWeekly} {
-		add(report.againstBest("wasted-cache-"+scenario, scenario, wasted, goalWasted))
+		add(report.againstBest("wasted-cache-"+scenario, scenario, wastedCache, goalWasted))
 	}
-	add(report.figure("share-error-10s", nameBacklog, func(outcome Outcome) float64 { return outcome.ShareError }, goalShare))
+	add(report.againstGoal("share-error-10s", nameBacklog, func(outcome Outcome) float64 { return outcome.ShareError }, goalShare))
 	for _, scenario := range []string{nameFlood, nameLoops} {
 		add(report.against("victim-p99-"+scenario, scenario, nameAlone, nameProduct, memberP99(piran), goalVictim))
 	}
-	add(report.figure("work-twice-crashed-zone", nameCrashedZone, func(outcome Outcome) float64 { return outcome.Twice }, goalTwice))
-	add(report.figure("retry-after-factor", nameFlood, func(outcome Outcome) float64 { return outcome.RetryAfter }, goalRetryAfter))
-	add(report.figure("refusal-delay-ms", nameFlood, func(outcome Outcome) float64 { return outcome.RefusalDelay }, float64(2*permitDelay)))
-	add(report.figure("sent-to-leaving", nameLeaving, func(outcome Outcome) float64 { return float64(outcome.SentToLeaving) }, goalNone))
-	add(report.figure("cut-off-at-leaving", nameLeaving, func(outcome Outcome) float64 { return float64(outcome.CutOff) }, goalNone))
+	add(report.againstGoal("work-twice-crashed-zone", nameCrashedZone, func(outcome Outcome) float64 { return outcome.RepeatedWork }, goalTwice))
+	add(report.againstGoal("retry-after-factor", nameFlood, func(outcome Outcome) float64 { return outcome.RetryAfterFactor }, goalRetryAfter))
+	add(report.againstGoal("refusal-delay-ms", nameFlood, func(outcome Outcome) float64 { return outcome.RefusalDelay }, float64(2*permitDelay)))
+	add(report.againstGoal("sent-to-leaving", nameLeaving, func(outcome Outcome) float64 { return float64(outcome.SentToLeaving) }, goalNone))
+	add(report.againstGoal("cut-off-at-leaving", nameLeaving, func(outcome Outcome) float64 { return float64(outcome.CutOff) }, goalNone))
 	return measures
 }
 
-// againstBest compares with the baseline whose median is the least.
-func (report *Report) againstBest(name, scenario string, figure measured, goal float64) (Measure, bool) {
+// againstBest compares with the baseline that has the lowest median.
+func (report *Report) againstBest(name, scenario string, figure figureFunc, goal float64) (Measure, bool) {
 	best, bestName := math.Inf(1), ""
 	for _, result := range report.Results {
 		if result.Scenario != scenario || !result.Baseline {
@@ -104,8 +103,8 @@
 	return Measure{Name: name, Ratio: ratio(ours.median(figure), best), Goal: goal, Against: bestName}, true
 }
 
-// against compares with one policy, perhaps in another scenario.
-func (report *Report) against(name, scenario, other, policy string, figure measured, goal float64) (Measure, bool) {
+// against compares with one policy, which may be in another scenario.
+func (report *Report) against(name, scenario, other, policy string, figure figureFunc, goal float64) (Measure, bool) {
 	ours := report.find(scenario, nameProduct)
 	theirs := report.find(other, policy)
 	if ours == nil || theirs == nil {
@@ -118,8 +117,8 @@
 	return Measure{Name: name, Ratio: ratio(ours.median(figure), theirs.median(figure)), Goal: goal, Against: against}, true
 }
 
-// figure holds a figure of the product itself against a goal.
-func (report *Report) figure(name, scenario string, figure measured, goal float64) (Measure, bool) {
+// againstGoal compares a figure of the product itself with a goal.
+func (report *Report) againstGoal(name, scenario string, figure figureFunc, goal float64) (Measure, bool) {
 	ours := report.find(scenario, nameProduct)
 	if ours == nil {
 		return Measure{}, false
--- a/bvexperiment/killedgate.go
+++ b/bvexperiment/killedgate.go
@@ -8,33 +8,33 @@
 	"balsamvalve.example/bvgate"
 )
 
-// takeoverTime is from the death of the deciding host until the next one
+// takeoverTime is the time from the failure of the deciding host until the next host
 // decides: its peers' connections break, and the list drops it.
 const takeoverTime = listLag
 
-// killedGate is a Pool whose host dies at faultAt. The next host starts with an
-// empty Pool; owners tell it again what runs and what waits.
+// killedGate is a Pool whose host fails at faultAt. The next host starts with an empty
+// Pool, to which owners report their running and waiting requests again.
 type killedGate struct {
 	*bvgate.Pool
-	dead    bool
-	revived bool
-	shares  []bvgate.MemberShare
-	reports []bvgate.EndpointReport
-	waiting map[bvgate.RequestID]bvgate.Request
-	running map[bvgate.RequestID]adopted
-	ended   [][2]string // member and program
+	isDown        bool
+	tookOver      bool
+	shares        []bvgate.MemberShare
+	reports       []bvgate.EndpointReport
+	waiting       map[bvgate.RequestID]bvgate.Request
+	running       map[bvgate.RequestID]grantedCall
+	endedPrograms [][2]string // member and program
 }
 
-type adopted struct {
+type grantedCall struct {
 	request  bvgate.Request
 	endpoint string
 }
 
 func newKilledGate(uint64) Policy {
 	return &killedGate{
-		Pool:    tunedPool(),
+		Pool:    newTunedPool(),
 		waiting: make(map[bvgate.RequestID]bvgate.Request),
-		running: make(map[bvgate.RequestID]adopted),
+		running: make(map[bvgate.RequestID]grantedCall),
 	}
 }
 
@@ -46,22 +46,22 @@
 
 // UpdateEndpoint implements Policy.
 func (gate *killedGate) UpdateEndpoint(now bvclock.Time, report bvgate.EndpointReport) {
-	gate.forget(report.Name)
+	gate.dropReport(report.Name)
 	gate.reports = append(gate.reports, report)
-	if !gate.dead {
+	if !gate.isDown {
 		gate.Pool.UpdateEndpoint(now, report)
 	}
 }
 
 // RemoveEndpoint implements Policy.
 func (gate *killedGate) RemoveEndpoint(now bvclock.Time, endpoint string) {
-	gate.forget(endpoint)
-	if !gate.dead {
+	gate.dropReport(endpoint)
+	if !gate.isDown {
 		gate.Pool.RemoveEndpoint(now, endpoint)
 	}
 }
 
-func (gate *killedGate) forget(endpoint string) {
+func (gate *killedGate) dropReport(endpoint string) {
 	gate.reports = slices.DeleteFunc(gate.reports, func(report bvgate.EndpointReport) bool {
 		return report.Name == endpoint
 	})
@@ -70,29 +70,29 @@
 // Submit implements Policy.
 func (gate *killedGate) Submit(now bvclock.Time, request bvgate.Request) {
 	gate.waiting[request.ID] = request
-	if !gate.dead {
+	if !gate.isDown {
 		gate.Pool.Submit(now, request)
 	}
 }
 
 // MarkUsed implements Policy.
 func (gate *killedGate) MarkUsed(now bvclock.Time, id bvgate.RequestID) bool {
-	return gate.dead || gate.Pool.MarkUsed(now, id)
+	return gate.isDown || gate.Pool.MarkUsed(now, id)
 }
 
 // Finish implements Policy.
 func (gate *killedGate) Finish(now bvclock.Time, finish bvgate.Finish) {
 	delete(gate.running, finish.ID)
-	if !gate.dead {
+	if !gate.isDown {
 		gate.Pool.Finish(now, finish)
 	}
 }
 
-// EndProgram implements Policy. An owner whose release found no deciding host
-// tells the next one.
+// EndProgram implements Policy. An owner that reaches no deciding host reports the end
+// to the next one.
 func (gate *killedGate) EndProgram(now bvclock.Time, member, program string) {
-	if gate.dead {
-		gate.ended = append(gate.ended, [2]string{member, program})
+	if gate.isDown {
+		gate.endedPrograms = append(gate.endedPrograms, [2]string{member, program})
 		return
 	}
 	gate.Pool.EndProgram(now, member, program)
@@ -100,26 +100,26 @@
 
 // Tick implements Policy.
 func (gate *killedGate) Tick(now bvclock.Time) []bvgate.Effect {
-	if !gate.dead && !gate.revived && !now.Before(faultAt) {
-		gate.dead = true
+	if !gate.isDown && !gate.tookOver && !now.Before(faultAt) {
+		gate.isDown = true
 	}
-	if gate.dead && now.Before(faultAt.Add(takeoverTime)) {
+	if gate.isDown && now.Before(faultAt.Add(takeoverTime)) {
 		return nil
 	}
-	if gate.dead {
+	if gate.isDown {
 		gate.takeOver(now)
 	}
 	effects := gate.Pool.Tick(now)
 	for _, effect := range effects {
-		gate.note(effect)
+		gate.recordEffect(effect)
 	}
 	return effects
 }
 
-func (gate *killedGate) note(effect bvgate.Effect) {
+func (gate *killedGate) recordEffect(effect bvgate.Effect) {
 	switch effect := effect.(type) {
 	case bvgate.Grant:
-		gate.running[effect.Request] = adopted{gate.waiting[effect.Request], effect.Endpoint}
+		gate.running[effect.Request] = grantedCall{gate.waiting[effect.Request], effect.Endpoint}
 		delete(gate.waiting, effect.Request)
 	case bvgate.Refusal:
 		delete(gate.waiting, effect.Request)
@@ -127,8 +127,8 @@
 }
 
 func (gate *killedGate) takeOver(now bvclock.Time) {
-	gate.dead, gate.revived = false, true
-	gate.Pool = tunedPool()
+	gate.isDown, gate.tookOver = false, true
+	gate.Pool = newTunedPool()
 	gate.Pool.SetMembers(gate.shares)
 	for _, report := range gate.reports {
 		gate.Pool.UpdateEndpoint(now, report)
@@ -139,10 +139,10 @@
 	for _, id := range sortedIDs(gate.waiting) {
 		gate.Pool.Submit(now, gate.waiting[id])
 	}
-	for _, program := range gate.ended {
+	for _, program := range gate.endedPrograms {
 		gate.Pool.EndProgram(now, program[0], program[1])
 	}
-	gate.ended = nil
+	gate.endedPrograms = nil
 }
 
 func sortedIDs[Value any](byID map[bvgate.RequestID]Value) []bvgate.RequestID {
@@ -156,11 +156,11 @@
 
 // NextTick implements Policy.
 func (gate *killedGate) NextTick() bvclock.Time {
-	if gate.dead {
+	if gate.isDown {
 		return faultAt.Add(takeoverTime)
 	}
 	next := gate.Pool.NextTick()
-	if !gate.revived && (next == 0 || faultAt.Before(next)) {
+	if !gate.tookOver && (next == 0 || faultAt.Before(next)) {
 		return faultAt
 	}
 	return next
--- a/bvexperiment/leastload.go
+++ b/bvexperiment/leastload.go
@@ -5,8 +5,8 @@
 	"balsamvalve.example/bvgate"
 )
 
-// leastLoad sends each call to the endpoint whose last report shows the fewest
-// calls; equals are taken in turn.
+// leastLoad sends each call to the endpoint whose last report shows the fewest calls;
+// it alternates between endpoints with equal load.
 type leastLoad struct {
 	baseline
 	turn int
--- a/bvexperiment/oracle.go
+++ b/bvexperiment/oracle.go
@@ -1,20 +1,20 @@
 package bvexperiment
 
-// oracle knows what no policy of the product can know.
+// oracle provides data that no policy of the product can have.
 type oracle interface {
 	// remaining returns the seconds of service that a program still needs.
 	remaining(program string) float64
-	// cached returns what an endpoint has cached for a program right now.
+	// cached returns how many tokens an endpoint currently has cached for a program.
 	cached(endpoint, member, program string) int
-	// prefillSeconds is how long an endpoint takes to prefill tokens.
+	// prefillSeconds returns how long an endpoint takes to prefill tokens.
 	prefillSeconds(tokens int) float64
-	// freeMemory is the part of an endpoint's memory that holds nothing.
+	// freeMemory returns the unused fraction of an endpoint's memory.
 	freeMemory(endpoint string) float64
 }
 
-// clairvoyantPolicy is a Policy that is told the future.
+// clairvoyantPolicy is a Policy that has access to the oracle.
 type clairvoyantPolicy interface {
-	foresee(oracle oracle)
+	setOracle(oracle oracle)
 }
 
 // remaining implements oracle.
@@ -23,7 +23,7 @@
 	if program == nil {
 		return 0
 	}
-	return program.seconds(simulation.scenario.pool.config, program.at)
+	return program.seconds(simulation.scenario.pool.config, program.stepIndex)
 }
 
 // cached implements oracle.
--- a/bvexperiment/plot.go
+++ b/bvexperiment/plot.go
@@ -15,8 +15,8 @@
 	plotHeight = 5 * vg.Inch
 )
 
-// Plot draws the 99th percentile of the program latency over the load, a line
-// for each policy. The file's ending chooses the format, such as .svg or .png.
+// Plot draws the 99th percentile of the program latency over the load, with a line for
+// each policy. The file's extension selects the format, such as .svg or .png.
 func (report *Report) Plot(file string) error {
 	chart := plot.New()
 	chart.Title.Text = "Program latency, 99 in 100"
@@ -41,7 +41,7 @@
 }
 
 func (report *Report) points(policy string) plotter.XYs {
-	const millisecondsASecond = 1000
+	const millisecondsPerSecond = 1000
 	var points plotter.XYs
 	for _, result := range report.Results {
 		load := 0.0
@@ -51,7 +51,7 @@
 		if _, err := fmt.Sscanf(result.Scenario, "load-%f", &load); err != nil {
 			continue
 		}
-		points = append(points, plotter.XY{X: load, Y: result.median(latencyP99) / millisecondsASecond})
+		points = append(points, plotter.XY{X: load, Y: result.median(latencyP99) / millisecondsPerSecond})
 	}
 	return points
 }
--- a/bvexperiment/policy.go
+++ b/bvexperiment/policy.go
@@ -6,9 +6,9 @@
 	"balsamvalve.example/bvverdict"
 )
 
-// Policy decides which call goes to which endpoint, and when. Its methods are
-// those of bvgate.Pool, so that the product's own decisions are measured and
-// not a copy of them. The baselines answer to the same events.
+// Policy decides which call is sent to which endpoint, and when. Its methods are those
+// of bvgate.Pool, so that the experiment measures the product's own decisions and not
+// a copy of them. The baselines receive the same events.
 type Policy interface {
 	SetMembers(shares []bvgate.MemberShare)
 	UpdateEndpoint(now bvclock.Time, report bvgate.EndpointReport)
@@ -23,8 +23,8 @@
 	NextTick() bvclock.Time
 }
 
-// baseline does what all baselines share: it keeps the list of endpoints and
-// sends each call at once.
+// baseline is the common part of all baselines: it holds the list of endpoints and
+// grants each call immediately.
 type baseline struct {
 	endpoints []bvgate.EndpointReport // sorted by name
 	effects   []bvgate.Effect
@@ -63,8 +63,7 @@
 	return 0, false
 }
 
-// usable returns the endpoints that are not leaving, or all of them when every
-// one is.
+// usable returns the endpoints that are not leaving, or all of them if all are leaving.
 func (baseline *baseline) usable() []bvgate.EndpointReport {
 	usable := make([]bvgate.EndpointReport, 0, len(baseline.endpoints))
 	for _, endpoint := range baseline.endpoints {
--- a/bvexperiment/quotas.go
+++ b/bvexperiment/quotas.go
@@ -8,10 +8,10 @@
 	"balsamvalve.example/bvgate"
 )
 
-// hosts is how many hosts decide where each decides alone.
+// hosts is the number of hosts in policies in which each host decides independently.
 const hosts = 13
 
-// hostOf is the host that owns a program; sub-agents stay with their root.
+// hostOf returns the host that owns a program; sub-agents have the owner of their root.
 func hostOf(program string) int {
 	root, _, _ := strings.Cut(program, ".")
 	hash := fnv.New32a()
@@ -19,8 +19,8 @@
 	return int(hash.Sum32() % hosts)
 }
 
-// quotas gives each host a fixed part of each endpoint's slots and lets it
-// decide for its own programs with the product's Pool.
+// quotas gives each host a fixed share of each endpoint's slots. Each host decides
+// for its own programs with the product's Pool.
 type quotas struct {
 	pools []*bvgate.Pool
 	owner map[bvgate.RequestID]int
@@ -29,7 +29,7 @@
 func newQuotas(uint64) Policy {
 	policy := &quotas{owner: make(map[bvgate.RequestID]int)}
 	for range hosts {
-		policy.pools = append(policy.pools, tunedPool())
+		policy.pools = append(policy.pools, newTunedPool())
 	}
 	return policy
 }
@@ -55,7 +55,8 @@
 	}
 }
 
-// quota is the part of an endpoint's slots that a host has.
+// quota returns a host's share of an endpoint's slots. The first hosts by place get
+// the remainder.
 func quota(slots, place int) int {
 	part := slots / hosts
 	if place < slots%hosts {
--- a/bvexperiment/records.go
+++ b/bvexperiment/records.go
@@ -13,80 +13,80 @@
 	member   string
 	class    string
 	started  bvclock.Time
-	took     bvclock.Duration
-	finished bool // otherwise took is a lower bound
+	latency  bvclock.Duration
+	finished bool // otherwise latency is a lower bound
 }
 
-// asked is one request to the policy.
-type asked struct {
-	member    string
-	starts    bool // a program, and is not a later call of one
-	call      bvgate.RequestID
-	at        bvclock.Time
-	refused   bool
-	last      bool // the caller gave up then
-	refusedAt bvclock.Time
-	wait      bvclock.Duration // as told
+// submission is one request submitted to the policy.
+type submission struct {
+	member        string
+	startsProgram bool // it is the first call of a program
+	call          bvgate.RequestID
+	submittedAt   bvclock.Time
+	refused       bool
+	gaveUp        bool // the caller abandoned the call after the refusal
+	refusedAt     bvclock.Time
+	retryAfter    bvclock.Duration // as stated in the refusal
 }
 
-// records is what a run leaves behind.
+// records holds the raw data of a run.
 type records struct {
-	begun            int
-	failed           int
-	grants           int
-	crashLost        int // calls in flight at a crash
-	cutOff           int // calls in flight at an endpoint that left
-	sentToLeaving    int
-	poisoned         int // crashes
-	samples          []sample
-	asks             []asked
-	windows          [][]float64 // cumulated work by member
-	lost             float64     // work of calls that a crash cut off
-	servedAtCrash    float64
-	servedAfterCrash float64
-	waste            bvmodel.Waste
-	prefilled        float64
-	repeatedPrefill  float64
+	programsStarted int
+	failed          int
+	grants          int
+	crashLost       int // calls in flight at a crash
+	cutOff          int // calls in flight when a leaving endpoint stopped
+	sentToLeaving   int
+	poisonCrashes   int // crashes
+	samples         []sample
+	submissions     []submission
+	workByWindow    [][]float64 // cumulative work by member at each window's end
+	lostWork        float64     // work of calls that a crash interrupted
+	workAtCrash     float64
+	workAfterCrash  float64
+	waste           bvmodel.Waste
+	prefilled       float64
+	repeatedPrefill float64
 }
 
-func (records *records) ask(call *call, now bvclock.Time) {
-	call.record = len(records.asks)
-	records.asks = append(records.asks, asked{member: call.member, starts: call.at == 0, call: call.id, at: now})
+func (records *records) addSubmission(call *call, now bvclock.Time) {
+	call.recordIndex = len(records.submissions)
+	records.submissions = append(records.submissions, submission{member: call.member, startsProgram: call.stepIndex == 0, call: call.id, submittedAt: now})
 }
 
-func (records *records) refuse(call *call, now bvclock.Time, wait bvclock.Duration) {
-	record := &records.asks[call.record]
+func (records *records) recordRefusal(call *call, now bvclock.Time, wait bvclock.Duration) {
+	record := &records.submissions[call.recordIndex]
 	record.refused = true
 	record.refusedAt = now
-	record.wait = wait
+	record.retryAfter = wait
 }
 
-func (records *records) giveUp(call *call) { records.asks[call.record].last = true }
+func (records *records) recordGiveUp(call *call) { records.submissions[call.recordIndex].gaveUp = true }
 
-func (records *records) fail(*program) { records.failed++ }
+func (records *records) recordFailure(*program) { records.failed++ }
 
-func (records *records) lose(spent bvmodel.Service) {
+func (records *records) recordLostCall(spent bvmodel.Service) {
 	records.crashLost++
-	records.lost += float64(workOf(spent))
+	records.lostWork += float64(workOf(spent))
 }
 
-func (records *records) answer(program *program, now bvclock.Time) {
+func (records *records) recordAnswer(program *program, now bvclock.Time) {
 	records.samples = append(records.samples, sample{
-		member: program.member, class: program.class, started: program.asked,
-		took: now.Sub(program.asked), finished: true,
+		member: program.member, class: program.class, started: program.exchangeStart,
+		latency: now.Sub(program.exchangeStart), finished: true,
 	})
 }
 
-// served is all work done by all endpoints.
-func (simulation *simulation) served() float64 {
+// totalWork returns the work done by all endpoints for all members.
+func (simulation *simulation) totalWork() float64 {
 	total := 0.0
 	for _, share := range simulation.scenario.members {
-		total += simulation.servedTo(share.Member)
+		total += simulation.memberWork(share.Member)
 	}
 	return total
 }
 
-func (simulation *simulation) servedTo(member string) float64 {
+func (simulation *simulation) memberWork(member string) float64 {
 	total := 0.0
 	for _, endpoint := range simulation.endpoints {
 		total += float64(workOf(endpoint.model.MemberService(member)))
@@ -96,13 +96,13 @@
 
 func (simulation *simulation) recordShares() {
 	for _, endpoint := range simulation.endpoints {
-		simulation.advance(endpoint)
+		simulation.advanceEndpoint(endpoint)
 	}
 	window := make([]float64, len(simulation.scenario.members))
 	for at, share := range simulation.scenario.members {
-		window[at] = simulation.servedTo(share.Member)
+		window[at] = simulation.memberWork(share.Member)
 	}
-	simulation.records.windows = append(simulation.records.windows, window)
+	simulation.records.workByWindow = append(simulation.records.workByWindow, window)
 }
 
 func (simulation *simulation) recordWaste() {
@@ -114,24 +114,25 @@
 	}
 }
 
-// recordUnfinished adds a lower bound for each person who still waits.
+// recordUnfinished adds a lower bound of the latency for each answer that a person
+// still waits for.
 func (simulation *simulation) recordUnfinished() {
 	var waiting []*program
 	for _, program := range simulation.programs {
-		if program.parent == nil && !program.failed && program.waited() {
+		if program.parent == nil && !program.failed && program.isAwaited() {
 			waiting = append(waiting, program)
 		}
 	}
-	slices.SortFunc(waiting, func(a, b *program) int { return int(a.order - b.order) })
+	slices.SortFunc(waiting, func(a, b *program) int { return int(a.startOrder - b.startOrder) })
 	for _, program := range waiting {
 		simulation.records.samples = append(simulation.records.samples, sample{
-			member: program.member, class: program.class, started: program.asked,
-			took: simulation.now.Sub(program.asked),
+			member: program.member, class: program.class, started: program.exchangeStart,
+			latency: simulation.now.Sub(program.exchangeStart),
 		})
 	}
 }
 
-// workOf weighs service as the product's own accounting does.
+// workOf weights service in the same way as the product's accounting.
 func workOf(served bvmodel.Service) bvgate.Work {
 	return bvgate.Cost{}.Work(int(served.Prefilled), int(served.Decoded))
 }
--- a/bvexperiment/scenario.go
+++ b/bvexperiment/scenario.go
@@ -6,14 +6,14 @@
 	"balsamvalve.example/bvmodel"
 )
 
-// reports says how endpoints report their load.
-type reports struct {
-	every bvclock.Duration
-	lag   bvclock.Duration
-	lost  float64 // part of the reports that never arrive
+// reporting describes how endpoints report their load.
+type reporting struct {
+	interval bvclock.Duration
+	lag      bvclock.Duration
+	lossRate float64 // fraction of the reports that never arrive
 }
 
-// Scenario is a workload with what goes wrong in it.
+// Scenario is a workload together with the faults that occur during it.
 type Scenario struct {
 	name     string
 	about    string
@@ -21,32 +21,32 @@
 	members  []bvgate.MemberShare
 	warmUp   bvclock.Time
 	duration bvclock.Duration // after the warm-up
-	// Answers to programs that began in this time are measured.
+	// Only exchanges that start in this time are measured.
 	measureFrom, measureTo bvclock.Time
-	reports                reports
+	reporting              reporting
 	faults                 []fault
 	contenders             []contender
 	programs               func(seed uint64) []*spec
-	pauses                 map[string]bvclock.Duration // usual pause of a class, where it differs
+	pauses                 map[string]bvclock.Duration // usual pause of a class, if it differs from the default
 }
 
 // Name returns the scenario's name on the command line.
 func (scenario *Scenario) Name() string { return scenario.name }
 
-// About returns a sentence on the scenario.
+// About returns a one-sentence description of the scenario.
 func (scenario *Scenario) About() string { return scenario.about }
 
 func (scenario *Scenario) end() bvclock.Time { return scenario.warmUp.Add(scenario.duration) }
 
-// expectedPause is what an owner expects after a call: the usual pause of the
-// class, the usual time between two exchanges after an answer, and a negative
-// one after a program's last call, since its caller ends it then.
+// expectedPause returns the pause that an owner expects after a call: the usual
+// pause of the class; after an answer, the usual time between two exchanges; and
+// after a program's last call a negative value, since its caller ends it then.
 func (scenario *Scenario) expectedPause(program *program, step step) bvclock.Duration {
-	if program.done() {
+	if program.isDone() {
 		return -1
 	}
-	if step.answers {
-		return bvclock.Duration(assistantShape().betweenAnswers.median)
+	if step.isAnswer {
+		return bvclock.Duration(assistantShape().answerPause.median)
 	}
 	if pause, ok := scenario.pauses[program.class]; ok {
 		return pause
@@ -56,19 +56,19 @@
 
 // Sizes of the scenarios.
 const (
-	warmUp       = bvclock.Time(40 * bvclock.Second)
-	duration     = 300 * bvclock.Second
-	faultAt      = bvclock.Time(120 * bvclock.Second)
-	floodUntil   = bvclock.Time(240 * bvclock.Second)
-	zoneDown     = 60 * bvclock.Second
-	usualEngines = 12
-	usualZones   = 4
+	warmUp         = bvclock.Time(40 * bvclock.Second)
+	duration       = 300 * bvclock.Second
+	faultAt        = bvclock.Time(120 * bvclock.Second)
+	floodUntil     = bvclock.Time(240 * bvclock.Second)
+	zoneDowntime   = 60 * bvclock.Second
+	defaultEngines = 12
+	defaultZones   = 4
 )
 
-func usualPool() poolSize {
+func defaultPool() poolSize {
 	return poolSize{
-		engines: usualEngines,
-		zones:   usualZones,
+		engines: defaultEngines,
+		zones:   defaultZones,
 		config: bvmodel.Config{
 			Slots: 8, CacheTokens: 64_000, PrefillTokensPerSecond: 5000, DecodeTokensPerSecond: 50, Slowdown: 0.06,
 		},
@@ -79,20 +79,20 @@
 	return []bvgate.MemberShare{{Member: brindley, Weight: 1}, {Member: piran, Weight: 1}}
 }
 
-func usualReports() reports {
-	return reports{every: 500, lag: 500}
+func defaultReporting() reporting {
+	return reporting{interval: 500, lag: 500}
 }
 
-// usual is a scenario in which both members offer the same load and nothing
-// goes wrong.
-func usual(name, about string, load float64) *Scenario {
+// newScenario returns a scenario in which both members offer the same load and no
+// faults occur.
+func newScenario(name, about string, load float64) *Scenario {
 	scenario := &Scenario{
-		name: name, about: about, pool: usualPool(), members: equalShares(),
-		warmUp: warmUp, duration: duration, reports: usualReports(), contenders: standardContenders(),
+		name: name, about: about, pool: defaultPool(), members: equalShares(),
+		warmUp: warmUp, duration: duration, reporting: defaultReporting(), contenders: standardContenders(),
 		measureFrom: warmUp, measureTo: warmUp.Add(duration),
 	}
 	scenario.programs = func(seed uint64) []*spec {
-		return byArrival(
+		return mergeByArrival(
 			piranMix().arrivals(seed, load/2, scenario.pool, 0, scenario.end()),
 			brindleyMix().arrivals(seed, load/2, scenario.pool, 0, scenario.end()),
 		)
@@ -104,10 +104,10 @@
 func Scenarios() []*Scenario {
 	return []*Scenario{
 		unloaded(),
-		usual("load-0.50", "both mixes at half of what the pool can do", 0.5),
-		usual(nameLoad80, "both mixes at load 0.8", 0.8),
-		usual("load-0.95", "both mixes at load 0.95", 0.95),
-		usual(nameOverload, "both mixes at load 1.2", 1.2),
+		newScenario("load-0.50", "both mixes at half of what the pool can do", 0.5),
+		newScenario(nameLoad80, "both mixes at load 0.8", 0.8),
+		newScenario("load-0.95", "both mixes at load 0.95", 0.95),
+		newScenario(nameOverload, "both mixes at load 1.2", 1.2),
 		backlog(),
 		flood(),
 		loops(),
@@ -124,16 +124,16 @@
 	}
 }
 
-// unloaded has four times the engines for the programs of load 0.8: what is
-// left of the latency there no policy can take away.
+// unloaded runs the programs of load 0.8 on four times the engines: its latency is
+// the part that no policy can remove.
 func unloaded() *Scenario {
 	const times = 4
-	scenario := usual(nameUnloaded, "the programs of load 0.8 before four times the engines", 0)
+	scenario := newScenario(nameUnloaded, "the programs of load 0.8 before four times the engines", 0)
 	pool := scenario.pool
 	scenario.pool.engines *= times
-	scenario.contenders = only(nameAffinity, nameClairvoyant, nameProduct)
+	scenario.contenders = selectContenders(nameAffinity, nameClairvoyant, nameProduct)
 	scenario.programs = func(seed uint64) []*spec {
-		return byArrival(
+		return mergeByArrival(
 			piranMix().arrivals(seed, 0.4, pool, 0, scenario.end()),
 			brindleyMix().arrivals(seed, 0.4, pool, 0, scenario.end()),
 		)
@@ -141,10 +141,10 @@
 	return scenario
 }
 
-// backlog has both members ask for more than the whole pool, with weights 3
-// to 1.
+// backlog has each member offer as much load as the entire pool can serve, with
+// weights 3 to 1.
 func backlog() *Scenario {
-	scenario := usual(nameBacklog, "each member asks for the whole pool; weights 3 to 1", 2)
+	scenario := newScenario(nameBacklog, "each member asks for the whole pool; weights 3 to 1", 2)
 	scenario.members = []bvgate.MemberShare{{Member: brindley, Weight: 1}, {Member: piran, Weight: 3}}
 	scenario.duration = 150 * bvclock.Second
 	scenario.measureTo = scenario.end()
@@ -154,16 +154,16 @@
 const victimLoad = 0.35
 
 func victim(seed uint64, scenario *Scenario) []*spec {
-	return piranMix().arrivals(seed, victimLoad, usualPool(), 0, scenario.end())
+	return piranMix().arrivals(seed, victimLoad, defaultPool(), 0, scenario.end())
 }
 
-// flood has the rival ask for three times the whole pool for two minutes.
+// flood has the rival offer three times the load of the entire pool for two minutes.
 func flood() *Scenario {
 	const floodLoad = 3
-	scenario := usual(nameFlood, "a rival asks for three times the pool from 120 s to 240 s", 0)
+	scenario := newScenario(nameFlood, "a rival asks for three times the pool from 120 s to 240 s", 0)
 	scenario.measureFrom, scenario.measureTo = faultAt, floodUntil
 	scenario.programs = func(seed uint64) []*spec {
-		return byArrival(
+		return mergeByArrival(
 			victim(seed, scenario),
 			brindleyMix().arrivals(seed, floodLoad, scenario.pool, faultAt, floodUntil),
 		)
@@ -171,20 +171,20 @@
 	return scenario
 }
 
-// loops has the rival run programs that never end.
+// loops has the rival run programs that do not end.
 func loops() *Scenario {
-	scenario := usual(nameLoops, "a rival starts 150 programs at 120 s that loop without end", 0)
+	scenario := newScenario(nameLoops, "a rival starts 150 programs at 120 s that loop without end", 0)
 	scenario.measureFrom, scenario.measureTo = faultAt, floodUntil
 	scenario.programs = func(seed uint64) []*spec {
-		return byArrival(victim(seed, scenario), endlessLoops(150, faultAt))
+		return mergeByArrival(victim(seed, scenario), endlessLoops(150, faultAt))
 	}
 	return scenario
 }
 
-// aloneAtShare has the victim of flood and loops alone before half of the
-// endpoints, which is its share.
+// aloneAtShare runs the victim of flood and loops alone on half of the endpoints,
+// which is its share.
 func aloneAtShare() *Scenario {
-	scenario := usual(nameAlone, "the victim of flood and loops alone before its share, half of the engines", 0)
+	scenario := newScenario(nameAlone, "the victim of flood and loops alone before its share, half of the engines", 0)
 	scenario.pool.engines /= 2
 	scenario.measureFrom, scenario.measureTo = faultAt, floodUntil
 	scenario.programs = func(seed uint64) []*spec { return victim(seed, scenario) }
@@ -194,9 +194,9 @@
 const longPause = 12_000
 
 func longPauses() *Scenario {
-	scenario := usual(nameLongPauses, "tools take 12 s at the median", 0)
+	scenario := newScenario(nameLongPauses, "tools take 12 s at the median", 0)
 	scenario.programs = func(seed uint64) []*spec {
-		return byArrival(
+		return mergeByArrival(
 			longPauseMix(piranMix(), longPause).arrivals(seed, 0.35, scenario.pool, 0, scenario.end()),
 			longPauseMix(brindleyMix(), longPause).arrivals(seed, 0.35, scenario.pool, 0, scenario.end()),
 		)
@@ -208,44 +208,44 @@
 }
 
 func lagging(name string, lag bvclock.Duration, lost float64) *Scenario {
-	scenario := usual(name, "load 0.8; reports arrive late, and some never", 0.8)
-	scenario.reports = reports{every: 1 * bvclock.Second, lag: lag, lost: lost}
-	// The others don't use reports: they do as at load 0.8.
-	scenario.contenders = only(nameLeastLoad, nameProduct)
+	scenario := newScenario(name, "load 0.8; reports arrive late, and some never", 0.8)
+	scenario.reporting = reporting{interval: 1 * bvclock.Second, lag: lag, lossRate: lost}
+	// The other policies do not use reports: their results are those of load 0.8.
+	scenario.contenders = selectContenders(nameLeastLoad, nameProduct)
 	return scenario
 }
 
 func crashedZone() *Scenario {
-	scenario := usual(nameCrashedZone, "load 0.6; a quarter of the engines is down from 120 s to 180 s", 0.6)
-	scenario.faults = []fault{crashZone(faultAt, "zone-1", zoneDown)}
+	scenario := newScenario(nameCrashedZone, "load 0.6; a quarter of the engines is down from 120 s to 180 s", 0.6)
+	scenario.faults = []fault{crashZone(faultAt, "zone-1", zoneDowntime)}
 	return scenario
 }
 
 func leavingEndpoint() *Scenario {
-	scenario := usual(nameLeaving, "load 0.8; an engine leaves at 120 s and stops 30 s later", 0.8)
-	scenario.faults = []fault{leave(faultAt, "engine-03")}
+	scenario := newScenario(nameLeaving, "load 0.8; an engine leaves at 120 s and stops 30 s later", 0.8)
+	scenario.faults = []fault{leaveEndpoint(faultAt, "engine-03")}
 	return scenario
 }
 
 func poison() *Scenario {
-	scenario := usual("poison", "load 0.6; at 120 s a request arrives that crashes each engine that runs it", 0.6)
+	scenario := newScenario("poison", "load 0.6; at 120 s a request arrives that crashes each engine that runs it", 0.6)
 	original := scenario.programs
 	scenario.programs = func(seed uint64) []*spec {
-		return byArrival(original(seed), []*spec{{
+		return mergeByArrival(original(seed), []*spec{{
 			member: brindley, class: classQuoting, key: "poison", arrival: faultAt, poisonous: true,
-			steps: []step{{fresh: 1000, output: 200, answers: true}},
+			steps: []step{{newTokens: 1000, outputTokens: 200, isAnswer: true}},
 		}})
 	}
 	return scenario
 }
 
-// weekly has conversations alone whose histories together do not fit in the
-// engines' memory.
+// weekly has conversations whose histories together do not fit in the engines'
+// memory, beside a small load of short programs.
 func weekly() *Scenario {
-	scenario := usual(nameWeekly, "load 0.7; conversations with long histories and pauses, cache too small for all", 0)
+	scenario := newScenario(nameWeekly, "load 0.7; conversations with long histories and pauses, cache too small for all", 0)
 	scenario.pool.config.CacheTokens = 48_000
 	scenario.programs = func(seed uint64) []*spec {
-		return byArrival(
+		return mergeByArrival(
 			piranMix().arrivals(seed, 0.25, scenario.pool, 0, scenario.end()),
 			assistantMix().arrivals(seed, 0.45, scenario.pool, 0, scenario.end()),
 		)
@@ -253,21 +253,21 @@
 	return scenario
 }
 
-// endpointDecision compares the ways to decide for an endpoint.
+// endpointDecision compares the strategies for choosing an endpoint.
 func endpointDecision() *Scenario {
-	scenario := usual("decision-0.90", "load 0.9, 13 hosts, reports 1 s late: who decides for an endpoint", 0.9)
-	scenario.reports = reports{every: 1 * bvclock.Second, lag: 1 * bvclock.Second}
+	scenario := newScenario("decision-0.90", "load 0.9, 13 hosts, reports 1 s late: who decides for an endpoint", 0.9)
+	scenario.reporting = reporting{interval: 1 * bvclock.Second, lag: 1 * bvclock.Second}
 	scenario.contenders = decisionContenders()
 	return scenario
 }
 
-// endpointDecisionInFlood compares them where a rival asks for three times the
-// pool.
+// endpointDecisionInFlood compares them while a rival offers three times the load of
+// the pool.
 func endpointDecisionInFlood() *Scenario {
 	scenario := flood()
 	scenario.name = "decision-flood"
 	scenario.about = "the flood with 13 hosts, reports 1 s late: who decides for an endpoint"
-	scenario.reports = reports{every: 1 * bvclock.Second, lag: 1 * bvclock.Second}
+	scenario.reporting = reporting{interval: 1 * bvclock.Second, lag: 1 * bvclock.Second}
 	scenario.contenders = decisionContenders()
 	return scenario
 }
--- a/bvexperiment/simulation.go
+++ b/bvexperiment/simulation.go
@@ -9,42 +9,42 @@
 
 // Delays of the platform and of callers.
 const (
-	listLag         = 2 * bvclock.Second // until the list shows a change
-	refusedRetry    = 100 * bvclock.Millisecond
-	maxReturns      = 8   // of a caller that was refused
-	maxRepeats      = 30  // of a call whose endpoint crashed
-	returnJitter    = 0.1 // of the time to come back
-	poisonDelay     = 100 * bvclock.Millisecond
-	poisonRestart   = 15 * bvclock.Second
-	drain           = 60 * bvclock.Second // after the last arrival
-	shareWindow     = 10 * bvclock.Second
-	leavingGrace    = 5 * bvclock.Second
-	leavingLifetime = 30 * bvclock.Second
+	listLag           = 2 * bvclock.Second // time until the list shows a change
+	refusedRetryDelay = 100 * bvclock.Millisecond
+	maxRetries        = 8   // by a caller that was refused
+	maxRepeats        = 30  // of a call whose endpoint crashed
+	retryJitter       = 0.1 // of the time until a retry, as a fraction of it
+	poisonDelay       = 100 * bvclock.Millisecond
+	poisonRestart     = 15 * bvclock.Second
+	drainTime         = 60 * bvclock.Second // after the last arrival
+	shareWindow       = 10 * bvclock.Second
+	leavingGrace      = 5 * bvclock.Second
+	leavingLifetime   = 30 * bvclock.Second
 )
 
 // simulation runs one scenario under one policy.
 type simulation struct {
-	scenario  *Scenario
-	policy    Policy
-	delay     bvclock.Duration // between an owner and the policy, one way
-	now       bvclock.Time
-	end       bvclock.Time // last arrival
-	agenda    agenda
-	random    *rand.Rand
-	endpoints []*endpoint
-	byName    map[string]*endpoint
-	programs  map[string]*program
-	calls     map[bvgate.RequestID]*call
-	lastID    bvgate.RequestID
-	begun     int
-	touched   bool // the policy was told something since its last Tick
-	records   records
+	scenario        *Scenario
+	policy          Policy
+	delay           bvclock.Duration // one-way, between an owner and the policy
+	now             bvclock.Time
+	end             bvclock.Time // last arrival
+	events          eventQueue
+	random          *rand.Rand
+	endpoints       []*endpoint
+	byName          map[string]*endpoint
+	programs        map[string]*program
+	calls           map[bvgate.RequestID]*call
+	lastID          bvgate.RequestID
+	programsStarted int
+	policyNotified  bool // the policy has received an event since its last Tick
+	records         records
 }
 
 func newSimulation(scenario *Scenario, seed uint64, contender contender, programs []*spec) *simulation {
 	simulation := &simulation{
 		scenario:  scenario,
-		policy:    contender.policy(seed),
+		policy:    contender.newPolicy(seed),
 		delay:     contender.delay,
 		end:       scenario.end(),
 		random:    rand.New(rand.NewPCG(seed, 7)),
@@ -62,28 +62,28 @@
 
 func (simulation *simulation) prepare(programs []*spec) {
 	if clairvoyant, ok := simulation.policy.(clairvoyantPolicy); ok {
-		clairvoyant.foresee(simulation)
+		clairvoyant.setOracle(simulation)
 	}
 	simulation.policy.SetMembers(simulation.scenario.members)
 	for _, endpoint := range simulation.endpoints {
 		simulation.policy.UpdateEndpoint(0, endpoint.report(0))
-		simulation.planReports(endpoint)
+		simulation.scheduleReports(endpoint)
 	}
 	for _, spec := range programs {
-		simulation.agenda.add(spec.arrival, func() { simulation.begin(spec, nil) })
+		simulation.events.schedule(spec.arrival, func() { simulation.startProgram(spec, nil) })
 	}
 	for _, fault := range simulation.scenario.faults {
-		simulation.agenda.add(fault.at, func() { fault.do(simulation) })
+		simulation.events.schedule(fault.at, func() { fault.inject(simulation) })
 	}
 	for at := simulation.scenario.warmUp; !at.After(simulation.end); at = at.Add(shareWindow) {
-		simulation.agenda.add(at, simulation.recordShares)
+		simulation.events.schedule(at, simulation.recordShares)
 	}
-	simulation.agenda.add(simulation.end, simulation.recordWaste)
+	simulation.events.schedule(simulation.end, simulation.recordWaste)
 }
 
-// run carries the scenario out until all is done or the drain time is over.
+// run runs the scenario until no events are left or the drain time has passed.
 func (simulation *simulation) run() *records {
-	horizon := simulation.end.Add(drain)
+	horizon := simulation.end.Add(drainTime)
 	for simulation.step(horizon) {
 	}
 	simulation.now = horizon
@@ -91,7 +91,8 @@
 	return &simulation.records
 }
 
-// step moves to the next time at which something happens.
+// step advances to the time of the next event and handles all events due then. It
+// reports false if there is none up to the horizon.
 func (simulation *simulation) step(horizon bvclock.Time) bool {
 	next, ok := simulation.nextTime()
 	if !ok || next.After(horizon) {
@@ -100,29 +101,29 @@
 	simulation.now = max(next, simulation.now)
 	for _, endpoint := range simulation.endpoints {
 		if endpoint.hasNext && !endpoint.nextAt.After(simulation.now) {
-			simulation.advance(endpoint)
+			simulation.advanceEndpoint(endpoint)
 		}
 	}
 	for {
-		do, ok := simulation.agenda.take(simulation.now)
+		do, ok := simulation.events.pop(simulation.now)
 		if !ok {
 			break
 		}
 		do()
 	}
-	simulation.decide()
+	simulation.runPolicy()
 	return true
 }
 
 func (simulation *simulation) nextTime() (bvclock.Time, bool) {
-	next, ok := simulation.agenda.next()
+	next, ok := simulation.events.nextTime()
 	for _, endpoint := range simulation.endpoints {
 		if endpoint.hasNext && (!ok || endpoint.nextAt.Before(next)) {
 			next, ok = endpoint.nextAt, true
 		}
 	}
 	if tick := simulation.policy.NextTick(); tick != 0 {
-		// A policy that is due in the past has just been asked.
+		// A tick that is due in the past has just been handled.
 		tick = max(tick, simulation.now+1)
 		if !ok || tick.Before(next) {
 			next, ok = tick, true
@@ -131,43 +132,43 @@
 	return next, ok
 }
 
-// decide asks the policy for its decisions if it was told something or is due.
-func (simulation *simulation) decide() {
+// runPolicy runs the policy's Tick if the policy has received an event or is due.
+func (simulation *simulation) runPolicy() {
 	tick := simulation.policy.NextTick()
-	if !simulation.touched && (tick == 0 || tick.After(simulation.now)) {
+	if !simulation.policyNotified && (tick == 0 || tick.After(simulation.now)) {
 		return
 	}
-	simulation.touched = false
+	simulation.policyNotified = false
 	for _, effect := range simulation.policy.Tick(simulation.now) {
-		simulation.apply(effect)
+		simulation.applyEffect(effect)
 	}
 }
 
-func (simulation *simulation) apply(effect bvgate.Effect) {
+func (simulation *simulation) applyEffect(effect bvgate.Effect) {
 	switch effect := effect.(type) {
 	case bvgate.Grant:
 		simulation.records.grants++
-		simulation.later(simulation.delay, func() { simulation.send(effect) })
+		simulation.runAfter(simulation.delay, func() { simulation.sendCall(effect) })
 	case bvgate.Refusal:
-		simulation.later(simulation.delay, func() { simulation.refused(effect) })
+		simulation.runAfter(simulation.delay, func() { simulation.handleRefusal(effect) })
 	case bvgate.Release:
-		simulation.release(effect)
+		simulation.releasePrefix(effect)
 	}
 }
 
-// later does something after a delay, or now when there is none.
-func (simulation *simulation) later(delay bvclock.Duration, do func()) {
+// runAfter runs a function after a delay, or immediately if the delay is zero.
+func (simulation *simulation) runAfter(delay bvclock.Duration, do func()) {
 	if delay == 0 {
 		do()
 		return
 	}
-	simulation.agenda.add(simulation.now.Add(delay), do)
+	simulation.events.schedule(simulation.now.Add(delay), do)
 }
 
-// tell gives the policy an event, delayed by the way to it.
-func (simulation *simulation) tell(event func()) {
-	simulation.later(simulation.delay, func() {
-		simulation.touched = true
+// notifyPolicy passes an event to the policy after the delay between owner and policy.
+func (simulation *simulation) notifyPolicy(event func()) {
+	simulation.runAfter(simulation.delay, func() {
+		simulation.policyNotified = true
 		event()
 	})
 }
--- a/bvexperiment/twochoices.go
+++ b/bvexperiment/twochoices.go
@@ -7,33 +7,34 @@
 	"balsamvalve.example/bvgate"
 )
 
-// twoChoices lets each host decide alone: it draws two endpoints, adds the one
-// that has the program's history, and takes the one with the least load, which
-// is the last report plus what this host has sent since. A cached history
+// twoChoices lets each host decide independently: it draws two endpoints, adds the one
+// that has the program's history, and chooses the one with the least load, which is
+// the last report plus the calls that this host has sent since. A cached history
 // outweighs a few calls.
 type twoChoices struct {
 	baseline
 	random *rand.Rand
-	hosts  [hosts]ownSends
-	sent   map[bvgate.RequestID]ownSend
+	hosts  [hosts]recentSends
+	sent   map[bvgate.RequestID]sentCall
 }
 
-// ownSends is what one host knows of its own calls.
-type ownSends map[string][]bvclock.Time
+// recentSends holds the times at which a host sent its own unfinished calls, by
+// endpoint.
+type recentSends map[string][]bvclock.Time
 
-type ownSend struct {
+type sentCall struct {
 	host     int
 	endpoint string
 }
 
-// historyWorth is how many tokens of cached history make up for one call more
-// in the batch.
-const historyWorth = 1000
+// tokensPerCall is the number of cached history tokens that outweighs one more call in
+// the batch.
+const tokensPerCall = 1000
 
 func newTwoChoices(seed uint64) Policy {
-	policy := &twoChoices{random: rand.New(rand.NewPCG(seed, 13)), sent: make(map[bvgate.RequestID]ownSend)}
+	policy := &twoChoices{random: rand.New(rand.NewPCG(seed, 13)), sent: make(map[bvgate.RequestID]sentCall)}
 	for host := range policy.hosts {
-		policy.hosts[host] = make(ownSends)
+		policy.hosts[host] = make(recentSends)
 	}
 	return policy
 }
@@ -58,11 +59,11 @@
 	}
 	sends := policy.hosts[host]
 	sends[best.Name] = append(sends[best.Name], now)
-	policy.sent[request.ID] = ownSend{host, best.Name}
+	policy.sent[request.ID] = sentCall{host, best.Name}
 	policy.send(request.ID, best.Name)
 }
 
-// load is what a host knows of an endpoint's load for a request.
+// load returns a host's estimate of an endpoint's load for a request.
 func (policy *twoChoices) load(host int, endpoint bvgate.EndpointReport, request bvgate.Request) float64 {
 	load := float64(endpoint.Running)
 	for _, at := range policy.hosts[host][endpoint.Name] {
@@ -71,7 +72,7 @@
 		}
 	}
 	if endpoint.Name == request.HistoryEndpoint {
-		load -= float64(request.HistoryTokens) / historyWorth
+		load -= float64(request.HistoryTokens) / tokensPerCall
 	}
 	return load
 }
