--- a/bvoperator/handler.go
+++ b/bvoperator/handler.go
@@ -79,11 +79,11 @@
 	Proposal *bvtable.Proposal `json:"proposal,omitempty"`
 }
 
-type actorFunc func(writer http.ResponseWriter, request *http.Request, actor bvtable.Actor) error
+type actorHandler func(writer http.ResponseWriter, request *http.Request, actor bvtable.Actor) error
 
 // authorized returns a handler that authenticates the request's key, calls the route with its
 // actor, and writes the error that the route returns.
-func (handler *Handler) authorized(route actorFunc) http.HandlerFunc {
+func (handler *Handler) authorized(route actorHandler) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		request.Body = http.MaxBytesReader(writer, request.Body, maxBodyBytes)
 		actor, err := handler.actor(request)
--- a/bvtable/bench_test.go
+++ b/bvtable/bench_test.go
@@ -23,7 +23,7 @@
 	return NewTable(1, list)
 }
 
-func withRows(b *testing.B, run func(b *testing.B, rows int)) {
+func runPerTableSize(b *testing.B, run func(b *testing.B, rows int)) {
 	for _, rows := range []int{100, 1000, 10000} {
 		b.Run(fmt.Sprintf("rows=%d", rows), func(b *testing.B) { run(b, rows) })
 	}
@@ -31,7 +31,7 @@
 
 // BenchmarkApply measures a follower's cost of one change.
 func BenchmarkApply(b *testing.B) {
-	withRows(b, func(b *testing.B, rows int) {
+	runPerTableSize(b, func(b *testing.B, rows int) {
 		state := &State{}
 		state.Install(largeTable(rows))
 		b.ReportAllocs()
@@ -47,7 +47,7 @@
 
 // BenchmarkMemory measures the heap memory of a follower's table.
 func BenchmarkMemory(b *testing.B) {
-	withRows(b, func(b *testing.B, rows int) {
+	runPerTableSize(b, func(b *testing.B, rows int) {
 		var before, after runtime.MemStats
 		for b.Loop() {
 			runtime.GC()
@@ -64,7 +64,7 @@
 // BenchmarkSnapshot measures the snapshot that a host fetches from a peer when it starts in an
 // outage.
 func BenchmarkSnapshot(b *testing.B) {
-	withRows(b, func(b *testing.B, rows int) {
+	runPerTableSize(b, func(b *testing.B, rows int) {
 		table := largeTable(rows)
 		size := 0
 		for b.Loop() {
@@ -83,7 +83,7 @@
 
 // BenchmarkRow measures the lookup of a call's limits.
 func BenchmarkRow(b *testing.B) {
-	withRows(b, func(b *testing.B, rows int) {
+	runPerTableSize(b, func(b *testing.B, rows int) {
 		table := largeTable(rows)
 		for b.Loop() {
 			if _, found := table.Row("piran", "class-77"); !found {
@@ -96,10 +96,10 @@
 // BenchmarkSet measures an edit on the host that serves it, against a store without latency,
 // and the number of platform calls per edit.
 func BenchmarkSet(b *testing.B) {
-	withRows(b, func(b *testing.B, rows int) {
+	runPerTableSize(b, func(b *testing.B, rows int) {
 		memory := &bvplatform.Memory{}
 		editor := newEditor(memory)
-		editor.Follower.install(largeTable(rows).at(0))
+		editor.Follower.install(largeTable(rows).withVersion(0))
 		writesBefore, readsBefore := memory.Counts()
 		edits := 0
 		for b.Loop() {
@@ -115,7 +115,7 @@
 	})
 }
 
-// at returns the table with another version number.
-func (table *Table) at(version int64) *Table {
+// withVersion returns the table with another version number.
+func (table *Table) withVersion(version int64) *Table {
 	return &Table{version: version, rows: table.rows}
 }
--- a/bvtable/editor_test.go
+++ b/bvtable/editor_test.go
@@ -26,7 +26,7 @@
 ,brindley,quote,,9,70,,
 `
 
-// newEditor returns an editor whose retries don't wait.
+// newEditor returns an editor that retries without a pause.
 func newEditor(store bvplatform.Store) *Editor {
 	return &Editor{
 		Store:    store,
--- a/bvtable/linear_test.go
+++ b/bvtable/linear_test.go
@@ -40,16 +40,16 @@
 	return version, err
 }
 
-// cellInput is a Get if New is empty, else a Set that expects Old.
+// cellInput is a Get if new is empty, else a Set that expects old.
 type cellInput struct{ column, old, new string }
 
 type cellOutput struct {
-	text     string // of a Get
+	text     string // text that a Get read
 	accepted bool
 	unknown  bool
 }
 
-// cellModel is one cell: a register with compare and set.
+// cellModel models one cell as a register with compare-and-set.
 var cellModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		parts := map[string][]porcupine.Operation{}
@@ -97,7 +97,7 @@
 					}
 				}
 				operation := porcupine.Operation{ClientId: client, Input: input, Call: int64(time.Since(start))}
-				output := doCell(t, editor, column, input)
+				output := runOperation(t, editor, column, input)
 				operation.Output, operation.Return = output, int64(time.Since(start))
 				if output.unknown {
 					operation.Return = math.MaxInt64
@@ -112,7 +112,7 @@
 	return history
 }
 
-func doCell(t *testing.T, editor *Editor, column Column, input cellInput) cellOutput {
+func runOperation(t *testing.T, editor *Editor, column Column, input cellInput) cellOutput {
 	name := RowName{Member: "piran", Class: "fresh"}
 	if input.new == "" {
 		table, err := editor.Get(t.Context())
