--- a/bvlog/bounded.go
+++ b/bvlog/bounded.go
@@ -1,6 +1,6 @@
-// Package bvlog writes structured log lines without ever holding up the work
-// that they tell of: lines wait in a bounded queue, and what is over the bound
-// in number or rate is dropped and counted.
+// Package bvlog writes structured log lines without blocking the code that logs:
+// lines wait in a bounded queue, and lines above its capacity or above the rate
+// limit are dropped and counted.
 //
 // # Usage
 //
@@ -20,15 +20,15 @@
 )
 
 const (
-	// queuedLines is how many lines may wait for a reader that is slow: some
-	// seconds of a busy host's.
-	queuedLines = 2048
-	// linesPerSecond bounds the volume, well above what callers' requests make.
-	linesPerSecond = 400
+	// maxQueuedLines is the capacity of the queue for a slow reader: some
+	// seconds of the output of a busy host.
+	maxQueuedLines = 2048
+	// maxLinesPerSecond bounds the volume, well above the rate of callers' requests.
+	maxLinesPerSecond = 400
 )
 
-// timeFormat is that of RFC 3339 with milliseconds, in which decisions are told
-// apart.
+// timeFormat is the format of RFC 3339 with milliseconds, so that decisions within
+// one second can be distinguished.
 const timeFormat = "2006-01-02T15:04:05.000Z07:00"
 
 // Bounded is a writer that never blocks. Make one with NewBounded.
@@ -39,15 +39,14 @@
 
 	mutex   sync.Mutex
 	closed  bool
-	second  bvclock.Time // that count is of
+	second  bvclock.Time // to which count applies
 	count   int
 	dropped int64
 }
 
-// NewBounded returns a writer that writes to output from a goroutine of its
-// own.
+// NewBounded returns a writer that writes to output from its own goroutine.
 func NewBounded(output io.Writer, clock bvclock.Clock) *Bounded {
-	bounded := &Bounded{clock: clock, lines: make(chan []byte, queuedLines), done: make(chan struct{})}
+	bounded := &Bounded{clock: clock, lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go bounded.drain(output)
 	return bounded
 }
@@ -55,7 +54,7 @@
 func (bounded *Bounded) drain(output io.Writer) {
 	defer close(bounded.done)
 	for line := range bounded.lines {
-		_, _ = output.Write(line) // there is no other place to tell of it
+		_, _ = output.Write(line) // there is no other place to report the error
 	}
 }
 
@@ -66,9 +65,9 @@
 	if bounded.closed {
 		return len(line), nil
 	}
-	bounded.turnSecond()
+	bounded.startSecond()
 	bounded.count++
-	if bounded.count > linesPerSecond {
+	if bounded.count > maxLinesPerSecond {
 		bounded.dropped++
 		return len(line), nil
 	}
@@ -80,8 +79,9 @@
 	return len(line), nil
 }
 
-// turnSecond starts a new second, and tells what the one before dropped.
-func (bounded *Bounded) turnSecond() {
+// startSecond resets the count when a new second has begun, and reports the lines
+// dropped before it.
+func (bounded *Bounded) startSecond() {
 	second := bounded.clock.Now() / bvclock.Time(bvclock.Second)
 	if second == bounded.second {
 		return
@@ -98,7 +98,7 @@
 	}
 }
 
-// Close writes what is queued and ends.
+// Close writes the queued lines and stops the writer.
 func (bounded *Bounded) Close() {
 	bounded.mutex.Lock()
 	if !bounded.closed {
@@ -109,7 +109,7 @@
 	<-bounded.done
 }
 
-// New returns a logger of JSON lines.
+// New returns a logger that writes JSON lines.
 func New(output io.Writer) *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(output)
--- a/bvlog/bounded_test.go
+++ b/bvlog/bounded_test.go
@@ -10,7 +10,8 @@
 	"balsamvalve.example/bvclock"
 )
 
-// stuckWriter is a reader of logs that has stopped reading.
+// stuckWriter is an output that blocks until it is released, like a pipe whose
+// reader has stopped reading.
 type stuckWriter struct{ release chan struct{} }
 
 func (writer stuckWriter) Write(line []byte) (int, error) {
@@ -18,12 +19,13 @@
 	return len(line), nil
 }
 
-// Whoever reads the logs stops. Requests must go on: lines are dropped.
-func TestStuckReaderHoldsNobodyUp(t *testing.T) {
+// Guards against requests that block because the reader of the log has stopped: lines
+// are dropped instead.
+func TestStuckReaderDoesNotBlockWriters(t *testing.T) {
 	clock := &bvclock.Manual{}
 	stuck := stuckWriter{make(chan struct{})}
 	bounded := NewBounded(stuck, clock)
-	for range 3 * queuedLines {
+	for range 3 * maxQueuedLines {
 		clock.Advance(100)
 		_, err := bounded.Write([]byte("line\n"))
 		require.NoError(t, err)
@@ -33,19 +35,20 @@
 	bounded.Close()
 }
 
-// Guards against a log without bound, and against a gap that is not told.
-func TestVolumeIsBoundedAndTheGapTold(t *testing.T) {
+// Guards against a log of unbounded volume, and against dropped lines that are not
+// reported.
+func TestVolumeIsBoundedAndDropsAreReported(t *testing.T) {
 	clock := &bvclock.Manual{}
 	clock.Advance(bvclock.Second)
 	var out bytes.Buffer
 	bounded := NewBounded(&out, clock)
-	for range linesPerSecond + 7 {
+	for range maxLinesPerSecond + 7 {
 		_, _ = bounded.Write([]byte("line\n"))
 	}
 	clock.Advance(bvclock.Second)
 	_, _ = bounded.Write([]byte("last\n"))
 	bounded.Close()
-	require.Equal(t, linesPerSecond, strings.Count(out.String(), "line\n"))
+	require.Equal(t, maxLinesPerSecond, strings.Count(out.String(), "line\n"))
 	require.Contains(t, out.String(), `"lines":7`)
 	require.Contains(t, out.String(), "last\n")
 }
--- a/bvlog/server.go
+++ b/bvlog/server.go
@@ -7,14 +7,14 @@
 	"github.com/sirupsen/logrus"
 )
 
-// serverLog takes the lines that net/http writes by itself. Callers that break
-// a connection or a handshake cause most of them, so they are debug lines; a
-// handler's panic is an error.
+// serverLog receives the log lines of net/http. Callers that break a connection
+// or a handshake cause most of them, so they are logged at debug level; a
+// handler's panic is logged as an error.
 type serverLog struct {
 	log logrus.FieldLogger
 }
 
-// ForServer returns a logger for an http.Server's ErrorLog.
+// ForServer returns a logger for the ErrorLog of an http.Server.
 func ForServer(to logrus.FieldLogger) *log.Logger {
 	return log.New(serverLog{to}, "", 0)
 }
--- a/bvmechanism/mechanism.go
+++ b/bvmechanism/mechanism.go
@@ -1,11 +1,11 @@
-// Package bvmechanism names the mechanisms by which routing daemons decide, so that
-// experiments can switch each of them off and measure what it is worth. None of them
-// guards a promise to callers. Off, each leaves what a daemon would do without it.
+// Package bvmechanism names the mechanisms that routing daemons use for decisions, so
+// that experiments can switch each of them off and measure its effect. No guarantee to
+// callers depends on them. With a mechanism off, daemons decide as if it did not exist.
 //
 // # Usage
 //
-//	without, err := bvmechanism.Parse("affinity,samples")
-//	if without.Has(bvmechanism.Affinity) {
+//	disabled, err := bvmechanism.Parse("affinity,samples")
+//	if disabled.Has(bvmechanism.Affinity) {
 //		return 0
 //	}
 package bvmechanism
@@ -17,7 +17,7 @@
 
 //go:generate stringer -type=Mechanism -linecomment -output=mechanism_string.go
 
-// Mechanism is a way of deciding that can be switched off.
+// Mechanism is a part of the decision logic that can be switched off.
 type Mechanism int
 
 // The mechanisms.
@@ -44,30 +44,30 @@
 	last
 )
 
-// What each of them does, for the command line's help.
+// purposes describe the mechanisms in the help of the command line.
 var purposes = [last]string{
-	Affinity:      "prompts that begin alike meet at few endpoints where memory is scarce",
-	Digests:       "hosts tell each other of their calls, prompts and how calls ended",
-	Samples:       "in a crowd, a decision looks at a few endpoints only",
-	Outliers:      "endpoints are judged by how calls end there",
-	Admission:     "new programs are turned away in a crowd",
-	Ranks:         "calls wait at engines by their route's priority, programs under way first",
-	Lending:       "hosts give up unspent tokens of a program's budget to each other",
-	Halves:        "half of a budget is granted from one host's memory",
-	Relays:        "calls to the store go through another host while it turns this one away",
-	Conversations: "conversations are taken from hosts that have them at hand",
-	Objects:       "calls that concern one object meet at an endpoint",
-	Held:          "a turn's row names the engine that ran it",
-	Average:       "reading a prompt weighs by the calls that engines have on average",
-	ReadingRate:   "how fast engines read prompts is learnt",
-	Holding:       "while the store is away, turns are run and their ends held",
-	Probes:        "a decision asks how many calls a few endpoints have now",
-	Holders:       "a host is asked which endpoint has a conversation, and whether its program is under way",
-	Readers:       "in a large fleet, few hosts read the store's lists and hand them on",
-	Fairness:      "in a crowd, the workspace that begins most programs is turned away first",
+	Affinity:      "where KV cache is scarce, prompts with a common prefix go to few endpoints",
+	Digests:       "hosts exchange digests of their calls, cached prompts and outcomes of calls",
+	Samples:       "under overload, a decision considers a few sampled endpoints only",
+	Outliers:      "endpoints are rated by the outcomes of their calls",
+	Admission:     "new programs are rejected under overload",
+	Ranks:         "engines queue calls by the priority of their route, running programs first",
+	Lending:       "hosts transfer unspent tokens of a program's budget to each other",
+	Halves:        "half of a budget is granted from the memory of one host",
+	Relays:        "calls to the store go through another host while the store refuses this one",
+	Conversations: "conversations are fetched from hosts that have them cached",
+	Objects:       "calls on one object go to the same endpoint",
+	Held:          "the stored row of a turn names the engine that ran it",
+	Average:       "the cost of prefill is weighted by the average number of calls on engines",
+	ReadingRate:   "the prefill rate of engines is estimated from their calls",
+	Holding:       "while the store is unavailable, turns run and their results are held in memory",
+	Probes:        "a decision queries the current number of calls of a few endpoints",
+	Holders:       "a host is queried for the endpoint that caches a conversation and whether its program is running",
+	Readers:       "in a large fleet, few hosts read the lists of the store and pass them on",
+	Fairness:      "under overload, the workspace that starts most programs is rejected first",
 }
 
-// Purpose returns what the mechanism does, in one line.
+// Purpose returns a one-line description of the mechanism.
 func (mechanism Mechanism) Purpose() string { return purposes[mechanism] }
 
 // All returns all mechanisms.
@@ -85,10 +85,10 @@
 // Has reports whether a mechanism is in the set.
 func (set Set) Has(mechanism Mechanism) bool { return set&(1<<mechanism) != 0 }
 
-// With returns the set with a mechanism.
+// With returns the set with a mechanism added.
 func (set Set) With(mechanism Mechanism) Set { return set | 1<<mechanism }
 
-// Parse reads names with commas between.
+// Parse parses a comma-separated list of names.
 func Parse(names string) (Set, error) {
 	var set Set
 	if names == "" {
@@ -110,5 +110,5 @@
 			return mechanism, nil
 		}
 	}
-	return 0, fmt.Errorf("mechanism: there is no %q", name)
+	return 0, fmt.Errorf("mechanism: unknown name %q", name)
 }
--- a/bvmechanism/mechanism_test.go
+++ b/bvmechanism/mechanism_test.go
@@ -20,7 +20,8 @@
 	require.Zero(t, set)
 }
 
-// A name that is misspelt must not pass for an experiment that shows no difference.
+// Guards against a misspelt name that is ignored, so that an experiment runs with the
+// mechanism on and shows no difference.
 func TestUnknownNameIsAnError(t *testing.T) {
 	_, err := Parse("affinity,smaples")
 	require.ErrorContains(t, err, `"smaples"`)
--- a/bvtrace/allow.go
+++ b/bvtrace/allow.go
@@ -7,10 +7,10 @@
 	"go.opentelemetry.io/otel/sdk/trace"
 )
 
-// allowed are the attributes that are exported: this project's own, and those
-// of the libraries that can hold nothing of a caller's. The path of a URL can:
-// it has the program's id in it, or a question to a service.
-var allowed = map[attribute.Key]bool{
+// exportedAttributes are the attributes that are exported: this project's own, and
+// those of the libraries that can't hold a caller's data. The path of a URL can:
+// it contains the id of a program or a query to a service.
+var exportedAttributes = map[attribute.Key]bool{
 	attributeProgram:  true,
 	attributeHost:     true,
 	attributeEndpoint: true,
@@ -28,19 +28,19 @@
 	"rpc.response.status_code":  true,
 }
 
-// allowing exports spans with allowed attributes only, and without events,
+// filteringExporter exports spans with allowed attributes only, and without events,
 // links and the texts of errors.
-type allowing struct {
+type filteringExporter struct {
 	trace.SpanExporter
 }
 
 // ExportSpans implements trace.SpanExporter.
-func (allowing allowing) ExportSpans(ctx context.Context, spans []trace.ReadOnlySpan) error {
+func (exporter filteringExporter) ExportSpans(ctx context.Context, spans []trace.ReadOnlySpan) error {
 	stripped := make([]trace.ReadOnlySpan, len(spans))
 	for i, span := range spans {
 		stripped[i] = strippedSpan{span}
 	}
-	return allowing.SpanExporter.ExportSpans(ctx, stripped)
+	return exporter.SpanExporter.ExportSpans(ctx, stripped)
 }
 
 type strippedSpan struct {
@@ -51,7 +51,7 @@
 func (span strippedSpan) Attributes() []attribute.KeyValue {
 	var kept []attribute.KeyValue
 	for _, pair := range span.ReadOnlySpan.Attributes() {
-		if allowed[pair.Key] {
+		if exportedAttributes[pair.Key] {
 			kept = append(kept, pair)
 		}
 	}
--- a/bvtrace/log.go
+++ b/bvtrace/log.go
@@ -8,14 +8,14 @@
 	"balsamvalve.example/bvverdict"
 )
 
-// LogHop writes a line at debug level on how a hop of a request ended, with
-// the id of the trace in ctx, which is the same on all hosts that the request
-// passes. The fields are names and values in turn.
+// LogHop logs the outcome of a hop of a request at debug level, with the trace
+// id in ctx, which is the same on all hosts that the request passes. The fields
+// are alternating names and values.
 //
-// Of an error it keeps verdict and code: the reason and the cause can hold a
-// caller's text, and other members' operators read this log.
+// Of an error it logs only verdict and code: the reason and the cause can hold a
+// caller's text, and operators of other members read this log.
 func LogHop(ctx context.Context, log logrus.FieldLogger, message string, err error, fields ...string) {
-	if leveled, ok := log.(leveled); ok && !leveled.IsLevelEnabled(logrus.DebugLevel) {
+	if leveled, ok := log.(levelChecker); ok && !leveled.IsLevelEnabled(logrus.DebugLevel) {
 		return
 	}
 	line := make(logrus.Fields, 3+len(fields)/2)
@@ -31,7 +31,7 @@
 	log.WithFields(line).Debug(message)
 }
 
-// leveled is a log that tells whether a line would be written.
-type leveled interface {
+// levelChecker is a logger that reports whether a level is enabled.
+type levelChecker interface {
 	IsLevelEnabled(level logrus.Level) bool
 }
--- a/bvtrace/provider.go
+++ b/bvtrace/provider.go
@@ -1,14 +1,13 @@
 // Package bvtrace traces requests through the hosts with OpenTelemetry.
 //
 // A Provider belongs to one daemon. The servers and clients of HTTP and gRPC
-// are given it, and begin spans by it; the hops in between begin theirs with
-// Start, which finds the provider in the context. The trace's id also stands
-// in log lines and in the Bv-Trace header of an answer, whether or not spans
-// are exported.
+// start spans with it; the hops in between start theirs with Start, which takes
+// the provider from the context. The trace id is also in log lines and in the
+// Bv-Trace header of an answer, whether or not spans are exported.
 //
 // Spans hold no text of a prompt or an answer, no key and no member's name;
-// programs are named by a hash. That is kept by a list of the attributes that
-// may be exported, so that a new version of a library adds none.
+// programs are identified by a hash. An allowlist of exported attributes
+// enforces this, so that a new version of a library can't add attributes.
 //
 // # Usage
 //
@@ -36,16 +35,16 @@
 	"balsamvalve.example/bvsetting"
 )
 
-// Resource attributes, named as OpenTelemetry's conventions have them.
+// Resource attributes, named by the semantic conventions of OpenTelemetry.
 const (
-	serviceName  = "balsamvalve"
-	serviceKey   = attribute.Key("service.name")
-	hostKey      = attribute.Key("host.name")
-	zoneKey      = attribute.Key("cloud.availability_zone")
-	incarnateKey = attribute.Key("service.instance.id")
+	serviceName    = "balsamvalve"
+	serviceKey     = attribute.Key("service.name")
+	hostKey        = attribute.Key("host.name")
+	zoneKey        = attribute.Key("cloud.availability_zone")
+	incarnationKey = attribute.Key("service.instance.id")
 )
 
-// Config says where spans go and whose they are.
+// Config sets the destination and the resource attributes of spans.
 type Config struct {
 	Exporter    bvsetting.TraceExporter
 	Address     string    // IP and port of the OTLP collector's HTTP
@@ -53,18 +52,18 @@
 	Host        string
 	Zone        string // availability zone
 	Incarnation string // of the process
-	// Spans receives the spans in place of the exporter that is named; nil
-	// for none.
+	// Spans, if not nil, receives the spans in place of the exporter that
+	// Exporter names.
 	Spans trace.SpanExporter
 }
 
-// Provider gives spans to a daemon.
+// Provider creates and exports the spans of a daemon.
 type Provider struct {
 	sdk *trace.TracerProvider
 }
 
 // New returns a provider. Without an exporter its spans are not recorded;
-// their trace ids still tie log lines together.
+// their trace ids still correlate log lines.
 func New(ctx context.Context, config Config) (*Provider, error) {
 	exporter, err := config.exporter(ctx)
 	if err != nil {
@@ -74,7 +73,7 @@
 	if exporter == nil {
 		options = append(options, trace.WithSampler(trace.NeverSample()))
 	} else {
-		options = append(options, trace.WithBatcher(allowing{exporter}))
+		options = append(options, trace.WithBatcher(filteringExporter{exporter}))
 	}
 	return &Provider{sdk: trace.NewTracerProvider(options...)}, nil
 }
@@ -97,7 +96,7 @@
 		serviceKey.String(serviceName),
 		hostKey.String(config.Host),
 		zoneKey.String(config.Zone),
-		incarnateKey.String(config.Incarnation),
+		incarnationKey.String(config.Incarnation),
 	)
 }
 
@@ -106,7 +105,7 @@
 	return provider.sdk
 }
 
-// Shutdown exports the spans that are left, until ctx ends.
+// Shutdown exports the remaining spans; it stops when ctx is done.
 func (provider *Provider) Shutdown(ctx context.Context) error {
 	if err := provider.sdk.Shutdown(ctx); err != nil {
 		return fmt.Errorf("trace: %w", err)
@@ -114,8 +113,8 @@
 	return nil
 }
 
-// Propagator carries the trace's context between processes, and no baggage:
-// that could hold a member's content.
+// Propagator returns a propagator that carries the trace context between
+// processes, but no baggage, which could hold a member's content.
 func Propagator() propagation.TextMapPropagator {
 	return propagation.TraceContext{}
 }
--- a/bvtrace/provider_test.go
+++ b/bvtrace/provider_test.go
@@ -14,8 +14,9 @@
 	"balsamvalve.example/bvtrace"
 )
 
-// record begins and ends a span of a provider, and shuts the provider down.
-func record(t *testing.T, config bvtrace.Config) (id string) {
+// recordSpan starts and ends a span of a new provider, shuts the provider down and returns
+// the trace id.
+func recordSpan(t *testing.T, config bvtrace.Config) (id string) {
 	provider, err := bvtrace.New(t.Context(), config)
 	require.NoError(t, err)
 	ctx, root := provider.TracerProvider().Tracer("test").Start(context.Background(), "root")
@@ -36,7 +37,7 @@
 		body, _ = io.ReadAll(request.Body)
 	}))
 	defer collector.Close()
-	record(t, bvtrace.Config{Exporter: bvsetting.TraceOTLP, Address: collector.Listener.Addr().String(), Host: "host-1"})
+	recordSpan(t, bvtrace.Config{Exporter: bvsetting.TraceOTLP, Address: collector.Listener.Addr().String(), Host: "host-1"})
 	require.Equal(t, "/v1/traces", path)
 	require.Contains(t, string(body), "hop")
 	require.Contains(t, string(body), "host-1")
@@ -44,11 +45,11 @@
 
 func TestSpansAreWrittenAsJSON(t *testing.T) {
 	var output bytes.Buffer
-	id := record(t, bvtrace.Config{Exporter: bvsetting.TraceStdout, Output: &output})
+	id := recordSpan(t, bvtrace.Config{Exporter: bvsetting.TraceStdout, Output: &output})
 	require.Contains(t, output.String(), id)
 	require.Contains(t, output.String(), "bv.endpoint")
 }
 
 func TestRequestsHaveAnIdWithoutAnExporter(t *testing.T) {
-	require.Len(t, record(t, bvtrace.Config{}), 32)
+	require.Len(t, recordSpan(t, bvtrace.Config{}), 32)
 }
--- a/bvtrace/span.go
+++ b/bvtrace/span.go
@@ -25,16 +25,17 @@
 	attributeCode     = attribute.Key("bv.code")
 )
 
-// programHash is how much of a program's hash is shown, in bytes.
-const programHash = 8
+// programHashBytes is the length of the exported prefix of a program's hash.
+const programHashBytes = 8
 
 // Span is one hop of a request. The zero value records nothing.
 type Span struct {
 	span trace.Span
 }
 
-// Start begins a span under the one in ctx, by the same provider. Without one,
-// or where that is not recorded, it does nothing, so that it costs nothing.
+// Start starts a child of the span in ctx, with the same provider. If ctx has no
+// span, or one that is not recorded, Start returns a Span that records nothing, to
+// avoid the cost.
 func Start(ctx context.Context, name string) (context.Context, Span) {
 	parent := trace.SpanFromContext(ctx)
 	if !parent.IsRecording() {
@@ -44,7 +45,7 @@
 	return ctx, Span{span}
 }
 
-// SetProgram names the program by a hash, which shows neither its id nor its
+// SetProgram sets the program as a hash, which reveals neither its id nor its
 // member.
 func (span Span) SetProgram(member, program string) {
 	if span.span != nil {
@@ -54,15 +55,15 @@
 
 func hashProgram(member, program string) string {
 	digest := sha256.Sum256([]byte(member + "\x00" + program))
-	return hex.EncodeToString(digest[:programHash])
+	return hex.EncodeToString(digest[:programHashBytes])
 }
 
-// SetHost names the host that is asked.
+// SetHost sets the host to which the request is sent.
 func (span Span) SetHost(name string) {
 	span.set(attributeHost, name)
 }
 
-// SetEndpoint names the endpoint that is called.
+// SetEndpoint sets the endpoint that is called.
 func (span Span) SetEndpoint(name string) {
 	span.set(attributeEndpoint, name)
 }
@@ -73,7 +74,7 @@
 	}
 }
 
-// End ends the span. Of an error it keeps the verdict and the code only, since
+// End ends the span. Of an error it records only the verdict and the code, since
 // the reason can hold a caller's text.
 func (span Span) End(err error) {
 	if span.span == nil {
@@ -95,7 +96,7 @@
 	return ""
 }
 
-// Inject adds the trace's context to the headers of a request.
+// Inject adds the trace context to the headers of a request.
 func Inject(ctx context.Context, header http.Header) {
 	Propagator().Inject(ctx, propagation.HeaderCarrier(header))
 }
--- a/bvtrace/trace_test.go
+++ b/bvtrace/trace_test.go
@@ -25,13 +25,13 @@
 )
 
 const (
-	callerKey   = "piran-caller-key-0000"
-	testTimeout = 30 * time.Second
-	poll        = 20 * time.Millisecond
-	prompt      = "a lesson for Ana Novak"
+	callerKey    = "piran-caller-key-0000"
+	testTimeout  = 30 * time.Second
+	pollInterval = 20 * time.Millisecond
+	prompt       = "a lesson for Ana Novak"
 )
 
-// collector keeps spans.
+// collector is an exporter that collects spans in memory.
 type collector struct {
 	mutex sync.Mutex
 	spans []trace.ReadOnlySpan
@@ -46,7 +46,7 @@
 
 func (collector *collector) Shutdown(context.Context) error { return nil }
 
-// system is two embedded daemons before one engine.
+// system is two embedded daemons and one engine.
 type system struct {
 	t        *testing.T
 	platform string
@@ -60,28 +60,28 @@
 	platform := httptest.NewServer(&bvstandin.Platform{})
 	t.Cleanup(platform.Close)
 	system.platform = platform.Listener.Addr().String()
-	served := httptest.NewServer(engine)
-	t.Cleanup(served.Close)
+	engineServer := httptest.NewServer(engine)
+	t.Cleanup(engineServer.Close)
 	client := &bvplatform.Client{Address: system.platform}
 	require.NoError(t, client.PutEndpoint(t.Context(), bvplatform.Endpoint{
-		Name: "engine-1", Serves: "m", Address: served.Listener.Addr().String(), Slots: 4, CacheTokens: 1000,
+		Name: "engine-1", Serves: "m", Address: engineServer.Listener.Addr().String(), Slots: 4, CacheTokens: 1000,
 	}, 0))
 	ctx, stop := context.WithCancel(context.Background())
 	system.stop = stop
 	for i := range 2 {
-		daemon, err := bvdaemon.New(system.settings(fmt.Sprintf("host-%d", i)), quiet(), bvdaemon.WithSpanExporter(&system.spans))
+		daemon, err := bvdaemon.New(system.settings(fmt.Sprintf("host-%d", i)), discardLogger(), bvdaemon.WithSpanExporter(&system.spans))
 		require.NoError(t, err)
 		system.daemons = append(system.daemons, daemon)
 		go func() { _ = daemon.Run(ctx) }()
 	}
-	t.Cleanup(system.end)
+	t.Cleanup(system.shutDown)
 	for _, daemon := range system.daemons {
-		require.Eventually(t, func() bool { return daemon.Ready() && daemon.HostCount() == 2 }, testTimeout, poll)
+		require.Eventually(t, func() bool { return daemon.Ready() && daemon.HostCount() == 2 }, testTimeout, pollInterval)
 	}
 	return system
 }
 
-func quiet() *logrus.Logger {
+func discardLogger() *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(&bytes.Buffer{})
 	return log
@@ -103,15 +103,15 @@
 	return settings
 }
 
-func (system *system) end() {
+func (system *system) shutDown() {
 	system.stop()
 	for _, daemon := range system.daemons {
 		<-daemon.Stopped()
 	}
 }
 
-// programOf returns a program that a host owns.
-func programOf(host string) string {
+// programOwnedBy returns the id of a program that the host owns.
+func programOwnedBy(host string) string {
 	view := &bvhost.View{}
 	view.Update(0, []bvplatform.Host{{Name: "host-0"}, {Name: "host-1"}})
 	for i := 0; ; i++ {
@@ -134,7 +134,7 @@
 	require.Equal(system.t, http.StatusOK, response.StatusCode)
 }
 
-// Guards against hops that are missing from a trace.
+// Guards against traces that lack the span of a hop.
 func TestOneTraceHasASpanForEachHop(t *testing.T) {
 	var parent string
 	engine := bvstandin.NewEngine(bvstandin.EngineConfig{Name: "engine-1", Model: "m", Instant: true})
@@ -142,9 +142,9 @@
 		parent = request.Header.Get("Traceparent")
 		engine.ServeHTTP(writer, request)
 	}))
-	program := programOf("host-1")
+	program := programOwnedBy("host-1")
 	system.call(program)
-	system.end()
+	system.shutDown()
 
 	byName := make(map[string]trace.ReadOnlySpan)
 	for _, span := range system.spans.spans {
@@ -175,10 +175,10 @@
 	require.Equal(t, byName["relay"].SpanContext().TraceID(), byName["session"].SpanContext().TraceID())
 }
 
-// Guards against prompts and names in spans.
+// Guards against prompts, keys and names of members and programs in spans.
 func TestSpansHoldNoPromptNoMemberAndNoProgramID(t *testing.T) {
 	system := startSystem(t, bvstandin.NewEngine(bvstandin.EngineConfig{Name: "engine-1", Model: "m", Instant: true}))
-	program := programOf("host-1")
+	program := programOwnedBy("host-1")
 	system.call(program)
 	request, err := http.NewRequest(http.MethodDelete, "http://"+system.daemons[0].CallerAddress()+"/v1/programs/"+program, nil)
 	require.NoError(t, err)
@@ -186,7 +186,7 @@
 	response, err := http.DefaultClient.Do(request)
 	require.NoError(t, err)
 	_ = response.Body.Close()
-	system.end()
+	system.shutDown()
 	require.NotEmpty(t, system.spans.spans)
 	for _, span := range system.spans.spans {
 		text := fmt.Sprint(span.Name(), span.Attributes(), span.Events(), span.Links(), span.Status())
