--- a/bvcommand/completion.go
+++ b/bvcommand/completion.go
@@ -30,14 +30,14 @@
 	}
 	var cells []string
 	for _, column := range bvtable.Columns() {
-		if column != bvtable.Share && !given(args[1:], column) {
+		if column != bvtable.Share && !hasColumn(args[1:], column) {
 			cells = append(cells, column.String()+"=")
 		}
 	}
 	return cells, cobra.ShellCompDirectiveNoFileComp | cobra.ShellCompDirectiveNoSpace
 }
 
-func given(args []string, column bvtable.Column) bool {
+func hasColumn(args []string, column bvtable.Column) bool {
 	for _, arg := range args {
 		if strings.HasPrefix(arg, column.String()+"=") {
 			return true
--- a/bvcommand/fleet.go
+++ b/bvcommand/fleet.go
@@ -12,10 +12,10 @@
 
 // fleetOptions choose the load that is played.
 type fleetOptions struct {
-	hosts   int
-	seeds   int
-	crowd   float64
-	without string
+	hosts       int
+	seeds       int
+	surgeFactor float64
+	disabled    string
 }
 
 func newFleet() *cobra.Command {
@@ -38,26 +38,26 @@
 	flags := command.Flags()
 	flags.IntVar(&options.hosts, "hosts", 60, "how many hosts there are, six or more")
 	flags.IntVar(&options.seeds, "seeds", 1, "how many seeds to play")
-	flags.Float64Var(&options.crowd, "crowd", 1.6, "by how much the crowd multiplies the programs that begin")
-	flags.StringVar(&options.without, "without", "", "mechanisms to switch off, with commas between")
+	flags.Float64Var(&options.surgeFactor, "crowd", 1.6, "by how much the crowd multiplies the programs that begin")
+	flags.StringVar(&options.disabled, "without", "", "mechanisms to switch off, with commas between")
 	command.AddCommand(newFleetCaps())
 	return command
 }
 
 func (options *fleetOptions) run(to io.Writer) error {
-	without, err := bvmechanism.Parse(options.without)
+	without, err := bvmechanism.Parse(options.disabled)
 	if err != nil {
 		return usageError{err}
 	}
 	load := bvfleet.SurgeLoad(options.hosts)
-	if options.hosts < load.Zones || options.crowd <= 0 {
-		return usageError{fmt.Errorf("fleet: %d hosts and a crowd of %g can't be played", options.hosts, options.crowd)}
+	if options.hosts < load.Zones || options.surgeFactor <= 0 {
+		return usageError{fmt.Errorf("fleet: %d hosts and a crowd of %g can't be played", options.hosts, options.surgeFactor)}
 	}
 	load.Disabled = without
-	load.Surges[0].Factor = options.crowd
+	load.Surges[0].Factor = options.surgeFactor
 	for seed := range options.seeds {
 		load.Seed = uint64(seed + 1)
-		if err := compare(to, load); err != nil {
+		if err := compareVariants(to, load); err != nil {
 			return err
 		}
 	}
@@ -65,8 +65,8 @@
 }
 
 // compare plays a load once for each kind of knowledge.
-func compare(to io.Writer, load bvfleet.Load) error {
-	for _, known := range []struct {
+func compareVariants(to io.Writer, load bvfleet.Load) error {
+	for _, variant := range []struct {
 		name             string
 		totals, trackers bool
 	}{
@@ -74,8 +74,8 @@
 		{name: "digests", totals: true},
 		{name: "trackers", totals: true, trackers: true},
 	} {
-		load.GlobalDigests, load.Trackers = known.totals, known.trackers
-		if _, err := fmt.Fprintf(to, "seed %d  %-9s %s\n", load.Seed, known.name, bvfleet.Simulate(load)); err != nil {
+		load.GlobalDigests, load.Trackers = variant.totals, variant.trackers
+		if _, err := fmt.Fprintf(to, "seed %d  %-9s %s\n", load.Seed, variant.name, bvfleet.Simulate(load)); err != nil {
 			return fmt.Errorf("fleet: %w", err)
 		}
 	}
--- a/bvcommand/fleet_caps.go
+++ b/bvcommand/fleet_caps.go
@@ -12,13 +12,13 @@
 
 // capOptions choose the load of workspaces that is played.
 type capOptions struct {
-	hosts      int
-	workspaces int
-	seeds      int
-	crowd      float64
-	headroom   float64
-	lag        int
-	lost       bool
+	hosts       int
+	workspaces  int
+	seeds       int
+	surgeFactor float64
+	headroom    float64
+	reportLagMs int
+	hostsFail   bool
 }
 
 func newFleetCaps() *cobra.Command {
@@ -41,25 +41,25 @@
 	flags.IntVar(&options.hosts, "hosts", 30, "how many hosts there are")
 	flags.IntVar(&options.workspaces, "workspaces", 40, "how many workspaces there are")
 	flags.IntVar(&options.seeds, "seeds", 1, "how many seeds to play")
-	flags.Float64Var(&options.crowd, "crowd", 2, "by how much the crowd multiplies the programs that begin")
+	flags.Float64Var(&options.surgeFactor, "crowd", 2, "by how much the crowd multiplies the programs that begin")
 	flags.Float64Var(&options.headroom, "headroom", 1.6, "a cap, over its workspace's mean requests")
-	flags.IntVar(&options.lag, "lag-ms", 400, "within how many milliseconds hosts hear of each other's requests")
-	flags.BoolVar(&options.lost, "lost", false, "all hosts are lost after the crowd")
+	flags.IntVar(&options.reportLagMs, "lag-ms", 400, "within how many milliseconds hosts hear of each other's requests")
+	flags.BoolVar(&options.hostsFail, "lost", false, "all hosts are lost after the crowd")
 	return command
 }
 
 func (options *capOptions) run(to io.Writer) error {
-	if options.hosts < 1 || options.workspaces < 1 || options.crowd <= 0 || options.headroom <= 0 || options.lag < 10 {
+	if options.hosts < 1 || options.workspaces < 1 || options.surgeFactor <= 0 || options.headroom <= 0 || options.reportLagMs < 10 {
 		return usageError{fmt.Errorf("fleet caps: hosts, workspaces, crowd and headroom must be positive, and the lag 10 ms or more")}
 	}
 	for seed := range options.seeds {
 		load := bvfleet.CapLoad{
 			Seed: uint64(seed + 1), Hosts: options.hosts, Workspaces: options.workspaces, RatePerHost: 12,
-			Headroom: options.headroom, Duration: 24 * bvclock.Second, SurgeFactor: options.crowd,
-			HostsFail: options.lost, ReportLag: bvclock.Duration(options.lag),
+			Headroom: options.headroom, Duration: 24 * bvclock.Second, SurgeFactor: options.surgeFactor,
+			HostsFail: options.hostsFail, ReportLag: bvclock.Duration(options.reportLagMs),
 		}
-		for _, way := range bvfleet.CapWays() {
-			if _, err := fmt.Fprintf(to, "seed %d  %-9s %s\n", load.Seed, way, bvfleet.SimulateCaps(load, way)); err != nil {
+		for _, policy := range bvfleet.CapWays() {
+			if _, err := fmt.Fprintf(to, "seed %d  %-9s %s\n", load.Seed, policy, bvfleet.SimulateCaps(load, policy)); err != nil {
 				return fmt.Errorf("fleet caps: %w", err)
 			}
 		}
--- a/bvcommand/fleet_caps_test.go
+++ b/bvcommand/fleet_caps_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestFleetCapsTellsWhatEachWayRunsAndRefuses(t *testing.T) {
+func TestFleetCapsReportsResultsForEachPolicy(t *testing.T) {
 	var out strings.Builder
-	options := capOptions{hosts: 8, workspaces: 6, seeds: 2, crowd: 2, headroom: 1.6, lag: 400}
+	options := capOptions{hosts: 8, workspaces: 6, seeds: 2, surgeFactor: 2, headroom: 1.6, reportLagMs: 400}
 	require.NoError(t, options.run(&out))
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	require.Len(t, lines, 8)
@@ -20,5 +20,5 @@
 
 func TestFleetCapsNeedsHosts(t *testing.T) {
 	var out strings.Builder
-	require.ErrorAs(t, (&capOptions{workspaces: 6, seeds: 1, crowd: 2, headroom: 1.6, lag: 400}).run(&out), &usageError{})
+	require.ErrorAs(t, (&capOptions{workspaces: 6, seeds: 1, surgeFactor: 2, headroom: 1.6, reportLagMs: 400}).run(&out), &usageError{})
 }
--- a/bvcommand/fleet_test.go
+++ b/bvcommand/fleet_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestFleetTellsWhatCallersGotByWhatHostsKnow(t *testing.T) {
+func TestFleetReportsResultsForEachVariant(t *testing.T) {
 	var out strings.Builder
-	options := fleetOptions{hosts: 12, seeds: 2, crowd: 1.6}
+	options := fleetOptions{hosts: 12, seeds: 2, surgeFactor: 1.6}
 	require.NoError(t, options.run(&out))
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	require.Len(t, lines, 6)
@@ -25,13 +25,13 @@
 }
 
 func TestFleetNeedsAHostInEachZone(t *testing.T) {
-	requireMisuse(t, fleetOptions{hosts: 5, seeds: 1, crowd: 1})
+	requireMisuse(t, fleetOptions{hosts: 5, seeds: 1, surgeFactor: 1})
 }
 
-func TestFleetNeedsACrowd(t *testing.T) {
+func TestFleetNeedsAPositiveSurgeFactor(t *testing.T) {
 	requireMisuse(t, fleetOptions{hosts: 12, seeds: 1})
 }
 
 func TestFleetNamesUnknownMechanisms(t *testing.T) {
-	requireMisuse(t, fleetOptions{hosts: 12, seeds: 1, crowd: 1, without: "sense"})
+	requireMisuse(t, fleetOptions{hosts: 12, seeds: 1, surgeFactor: 1, disabled: "sense"})
 }
--- a/bvcommand/load.go
+++ b/bvcommand/load.go
@@ -49,7 +49,7 @@
 			return flags.run(command, config)
 		},
 	}
-	flags.add(command)
+	flags.addFlags(command)
 	addLoadConfig(command, &config)
 	command.AddCommand(newLoadWorkspaces())
 	return command
@@ -73,7 +73,7 @@
 	return bvkey.CallerKeys(file)
 }
 
-func (flags *loadFlags) add(command *cobra.Command) {
+func (flags *loadFlags) addFlags(command *cobra.Command) {
 	set := command.Flags()
 	set.StringVar(&flags.keysFile, "keys-file", "", "the daemons' keys file; or set "+keysVariable)
 	set.DurationVar(&flags.deadline, "deadline", 0, "of each request, its repeats included; 0: default")
--- a/bvcommand/route.go
+++ b/bvcommand/route.go
@@ -28,7 +28,7 @@
 gracefully. The settings come from the file that ` + platform.SettingsVariable + ` names.
 
 For experiments only, --without switches off mechanisms by which the daemon decides:
-` + mechanisms(),
+` + describeMechanisms(),
 		Example: "  " + platform.SettingsVariable + "=/etc/balsamvalve/node.toml balsamvalve route",
 		Args:    noArguments,
 		RunE: func(command *cobra.Command, _ []string) error {
@@ -40,7 +40,7 @@
 }
 
 // mechanisms lists what --without takes.
-func mechanisms() string {
+func describeMechanisms() string {
 	var list strings.Builder
 	for _, mechanism := range bvmechanism.All() {
 		fmt.Fprintf(&list, "\n  %-14s %s", mechanism, mechanism.Purpose())
@@ -84,18 +84,18 @@
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
-	changed := modified(path)
+	lastChange := modTime(path)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-hangups:
 		case <-bvclock.After(settingsInterval):
-			if modified(path).Equal(changed) {
+			if modTime(path).Equal(lastChange) {
 				continue
 			}
 		}
-		changed = modified(path)
+		lastChange = modTime(path)
 		settings, err := platform.LoadSettings(path)
 		if err != nil {
 			log.WithError(err).Error("settings not taken over")
@@ -107,7 +107,7 @@
 
 // modified returns when a file was last changed; a file that can't be looked
 // at counts as never, and reading it tells why.
-func modified(path string) time.Time {
+func modTime(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
 		return time.Time{}
--- a/bvcommand/standin.go
+++ b/bvcommand/standin.go
@@ -53,11 +53,11 @@
 			return server.run(address)
 		},
 	}
-	addressFlag(command, &address)
+	addAddressFlag(command, &address)
 	return command
 }
 
-func addressFlag(command *cobra.Command, address *string) {
+func addAddressFlag(command *cobra.Command, address *string) {
 	command.Flags().StringVar(address, "address", defaultStandinAddress, "IP and port to listen on; port 0 chooses one")
 }
 
@@ -71,8 +71,8 @@
 	drain    time.Duration
 }
 
-func (flags *endpointFlags) add(command *cobra.Command, name string) {
-	addressFlag(command, &flags.address)
+func (flags *endpointFlags) addFlags(command *cobra.Command, name string) {
+	addAddressFlag(command, &flags.address)
 	set := command.Flags()
 	set.StringVar(&flags.platform, "platform", "", "IP and port of the platform; empty: not announced")
 	set.StringVar(&flags.name, "name", name, "name of the endpoint")
@@ -99,15 +99,15 @@
 			return flags.serve(bvstandin.NewEngine(config), command.OutOrStdout())
 		},
 	}
-	flags.add(command, "engine-1")
-	engineFlags(command, &config)
+	flags.addFlags(command, "engine-1")
+	addEngineFlags(command, &config)
 	set := command.Flags()
 	set.DurationVar(&loadLag, "load-lag", 0, "age of load reports")
 	set.DurationVar(&eventLag, "event-lag", 0, "age of cache events")
 	return command
 }
 
-func engineFlags(command *cobra.Command, config *bvstandin.EngineConfig) {
+func addEngineFlags(command *cobra.Command, config *bvstandin.EngineConfig) {
 	set := command.Flags()
 	set.StringVar(&config.Model, "model", "", "model that it serves; empty: any")
 	set.BoolVar(&config.Instant, "instant", false, "answer at once")
@@ -115,10 +115,10 @@
 	set.IntVar(&config.OutputTokens, "output-tokens", 0, "tokens of an answer that has no max_tokens; 0: default")
 	set.IntVar(&config.MaxWaiting, "max-waiting", 0, "calls that wait before it refuses; 0: unbounded")
 	set.IntVar(&config.EventGap, "event-gap", 0, "every n-th cache event is lost; 0: none")
-	batchFlags(command, &config.Batch)
+	addBatchFlags(command, &config.Batch)
 }
 
-func batchFlags(command *cobra.Command, batch *bvmodel.Config) {
+func addBatchFlags(command *cobra.Command, batch *bvmodel.Config) {
 	set := command.Flags()
 	set.IntVar(&batch.Slots, "slots", 0, "calls batched at once; 0: default")
 	set.IntVar(&batch.CacheTokens, "cache-tokens", 0, "tokens of KV cache; 0: default")
@@ -140,7 +140,7 @@
 			return flags.serve(service, command.OutOrStdout())
 		},
 	}
-	flags.add(command, "service-1")
+	flags.addFlags(command, "service-1")
 	command.Flags().StringVar(&serves, "service", "tool", "name of the service")
 	return command
 }
@@ -157,7 +157,7 @@
 	server := standinServer{handler: endpoint, stdout: stdout}
 	if flags.platform != "" {
 		client := &bvplatform.Client{Address: flags.platform}
-		server.started = func(ctx context.Context, address string) func() {
+		server.onStart = func(ctx context.Context, address string) func() {
 			return flags.announce(ctx, endpoint, client, address)
 		}
 	}
@@ -189,7 +189,7 @@
 type standinServer struct {
 	handler http.Handler
 	stdout  io.Writer
-	started func(ctx context.Context, address string) (stop func())
+	onStart func(ctx context.Context, address string) (stop func())
 }
 
 func (server *standinServer) run(address string) error {
@@ -200,8 +200,8 @@
 		return fmt.Errorf("standin: %w", err)
 	}
 	stop := func() {}
-	if server.started != nil {
-		stop = server.started(ctx, listener.Addr().String())
+	if server.onStart != nil {
+		stop = server.onStart(ctx, listener.Addr().String())
 	}
 	_, _ = fmt.Fprintf(server.stdout, "listening %s\n", listener.Addr())
 	web := &http.Server{Handler: server.handler, ReadHeaderTimeout: shutdownTimeout}
--- a/bvcommand/status.go
+++ b/bvcommand/status.go
@@ -33,6 +33,6 @@
 			return status.Print(command.OutOrStdout())
 		},
 	}
-	flags.define(status.Flags())
+	flags.addFlags(status.Flags())
 	return status
 }
--- a/bvcommand/table.go
+++ b/bvcommand/table.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	keyEnvironment      = "BALSAMVALVE_KEY"
-	operatorEnvironment = "BALSAMVALVE_OPERATOR_ADDRESS"
-	operatorInitial     = "127.0.0.1:8082"
+	keyEnvironment         = "BALSAMVALVE_KEY"
+	operatorEnvironment    = "BALSAMVALVE_OPERATOR_ADDRESS"
+	defaultOperatorAddress = "127.0.0.1:8082"
 	// tableTimeout outlasts an edit (10 s) and the wait for confirmations (3.5 s).
 	tableTimeout = 20 * bvclock.Second
 )
 
 // tableCommand holds the flags that the commands for operators share.
 type tableCommand struct {
-	address   string
-	keyFile   string
-	authority string
-	asJSON    bool
+	address string
+	keyFile string
+	caFile  string
+	asJSON  bool
 }
 
 func newTable() *cobra.Command {
@@ -44,18 +44,18 @@
 		Args: noArguments,
 		RunE: func(command *cobra.Command, _ []string) error { return command.Help() },
 	}
-	flags.define(table.PersistentFlags())
+	flags.addFlags(table.PersistentFlags())
 	table.AddCommand(newTableGet(flags), newTableSet(flags), newTableImport(flags), newTableExport(flags),
 		newTableHistory(flags), newTablePropose(flags), newTableAccept(flags), newTableProposals(flags))
 	return table
 }
 
 // define adds the flags.
-func (flags *tableCommand) define(set *pflag.FlagSet) {
+func (flags *tableCommand) addFlags(set *pflag.FlagSet) {
 	set.StringVar(&flags.address, "operator-address", "",
-		"IP:port of a host's operators' HTTP ["+operatorEnvironment+"] (default "+operatorInitial+")")
+		"IP:port of a host's operators' HTTP ["+operatorEnvironment+"] (default "+defaultOperatorAddress+")")
 	set.StringVar(&flags.keyFile, "key-file", "", "file that holds the key alone")
-	set.StringVar(&flags.authority, "ca", "", "certificates (PEM file) to trust; turns HTTPS on")
+	set.StringVar(&flags.caFile, "ca", "", "certificates (PEM file) to trust; turns HTTPS on")
 	set.BoolVar(&flags.asJSON, "json", false, "print JSON")
 }
 
@@ -65,7 +65,7 @@
 		Short: "Print the rows, or one of them",
 		Example: `  balsamvalve table get
   balsamvalve table get piran/booking --json`,
-		Args: arguments(cobra.MaximumNArgs(1)),
+		Args: usageArgs(cobra.MaximumNArgs(1)),
 		RunE: func(command *cobra.Command, args []string) error {
 			client, err := flags.client()
 			if err != nil {
@@ -76,7 +76,7 @@
 				return err
 			}
 			if len(args) == 1 {
-				if view.Rows, err = pick(view.Rows, bvtable.ParseRowName(args[0])); err != nil {
+				if view.Rows, err = selectRow(view.Rows, bvtable.ParseRowName(args[0])); err != nil {
 					return err
 				}
 			}
@@ -100,7 +100,7 @@
 		Example: `  balsamvalve table set piran budget=5000 idle=15m
   balsamvalve table set brindley/quote priority=9 "models=small large"
   balsamvalve table set brindley/trial --remove`,
-		Args:              arguments(cobra.MinimumNArgs(1)),
+		Args:              usageArgs(cobra.MinimumNArgs(1)),
 		ValidArgsFunction: completeCells,
 		RunE: func(command *cobra.Command, args []string) error {
 			cells, err := parseCells(bvtable.ParseRowName(args[0]), args[1:], remove)
@@ -112,7 +112,7 @@
 				return err
 			}
 			if !force {
-				if err := expect(command, client, cells); err != nil {
+				if err := setExpected(command, client, cells); err != nil {
 					return err
 				}
 			}
@@ -136,7 +136,7 @@
 is a conflict. The first table of all is imported by an admin, at version 0.`,
 		Example: `  balsamvalve table export > table.csv
   balsamvalve table import table.csv`,
-		Args: arguments(cobra.ExactArgs(1)),
+		Args: usageArgs(cobra.ExactArgs(1)),
 		RunE: func(command *cobra.Command, args []string) error {
 			content, err := readInput(command, args[0])
 			if err != nil {
@@ -214,7 +214,7 @@
 when an operator of every other member concerned has accepted.`,
 		Example: `  balsamvalve table propose piran=55 brindley=45
   balsamvalve table propose piran=40 brindley=40 izola=20`,
-		Args: arguments(cobra.MinimumNArgs(1)),
+		Args: usageArgs(cobra.MinimumNArgs(1)),
 		RunE: func(command *cobra.Command, args []string) error {
 			shares, err := parseShares(args)
 			if err != nil {
@@ -235,7 +235,7 @@
 		Use:     "accept proposal",
 		Short:   "Consent to a proposal for your member",
 		Example: `  balsamvalve table accept p17`,
-		Args:    arguments(cobra.ExactArgs(1)),
+		Args:    usageArgs(cobra.ExactArgs(1)),
 		RunE: func(command *cobra.Command, args []string) error {
 			client, err := flags.client()
 			if err != nil {
@@ -274,7 +274,7 @@
 }
 
 // arguments makes a wrong number of arguments a mistake of use.
-func arguments(check cobra.PositionalArgs) cobra.PositionalArgs {
+func usageArgs(check cobra.PositionalArgs) cobra.PositionalArgs {
 	return func(command *cobra.Command, args []string) error {
 		if err := check(command, args); err != nil {
 			return usageError{err}
--- a/bvcommand/table_test.go
+++ b/bvcommand/table_test.go
@@ -70,7 +70,7 @@
 	return stdout
 }
 
-func TestTableSetTellsWhereTheVersionIsInForce(t *testing.T) {
+func TestTableSetReportsWhereTheVersionIsInForce(t *testing.T) {
 	startOperators(t)
 	t.Setenv(keyEnvironment, "piran-operator-key")
 	out := requireSuccess(t, "table", "set", "piran/booking", "budget=2000", "idle=90s")
--- a/bvcommand/tableclient.go
+++ b/bvcommand/tableclient.go
@@ -19,7 +19,7 @@
 )
 
 func (flags *tableCommand) client() (*bvoperator.Client, error) {
-	address := firstText(flags.address, os.Getenv(operatorEnvironment), operatorInitial)
+	address := firstNonEmpty(flags.address, os.Getenv(operatorEnvironment), defaultOperatorAddress)
 	if _, err := netip.ParseAddrPort(address); err != nil {
 		return nil, usageError{fmt.Errorf("--operator-address: %q is not an IP number with a port", address)}
 	}
@@ -28,16 +28,16 @@
 		return nil, usageError{err}
 	}
 	client := &bvoperator.Client{Address: address, Key: key, HTTP: &http.Client{Timeout: tableTimeout.Std()}}
-	if flags.authority == "" {
+	if flags.caFile == "" {
 		return client, nil
 	}
-	content, err := os.ReadFile(flags.authority)
+	content, err := os.ReadFile(flags.caFile)
 	if err != nil {
 		return nil, usageError{fmt.Errorf("--ca: %w", err)}
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(content) {
-		return nil, usageError{fmt.Errorf("--ca: %s has no certificate in PEM form", flags.authority)}
+		return nil, usageError{fmt.Errorf("--ca: %s has no certificate in PEM form", flags.caFile)}
 	}
 	client.TLS = true
 	client.HTTP.Transport = &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}}
@@ -59,7 +59,7 @@
 	return strings.TrimSpace(string(content)), nil
 }
 
-func firstText(texts ...string) string {
+func firstNonEmpty(texts ...string) string {
 	for _, text := range texts {
 		if text != "" {
 			return text
@@ -95,7 +95,7 @@
 
 // expect fills in what the cells hold now, so that an edit which somebody else
 // makes between this look and the change is a conflict and not overwritten.
-func expect(command *cobra.Command, client *bvoperator.Client, cells []bvtable.CellEdit) error {
+func setExpected(command *cobra.Command, client *bvoperator.Client, cells []bvtable.CellEdit) error {
 	view, err := client.Get(command.Context())
 	if err != nil {
 		return err
@@ -128,7 +128,7 @@
 	return os.ReadFile(path)
 }
 
-func pick(rows []bvtable.Row, name bvtable.RowName) ([]bvtable.Row, error) {
+func selectRow(rows []bvtable.Row, name bvtable.RowName) ([]bvtable.Row, error) {
 	for _, row := range rows {
 		if row.Name() == name {
 			return []bvtable.Row{row}, nil
--- a/bvcommand/tableprint.go
+++ b/bvcommand/tableprint.go
@@ -67,8 +67,8 @@
 		shares = append(shares, fmt.Sprintf("%s=%v", share.Member, share.Share))
 	}
 	_, _ = fmt.Fprintf(writer, "%s by %s, %s: %s", proposal.ID, proposal.Member, proposal.State, strings.Join(shares, " "))
-	if awaited := proposal.MissingConsents(); len(awaited) > 0 {
-		_, _ = fmt.Fprintf(writer, "; awaits %s", strings.Join(awaited, ", "))
+	if missing := proposal.MissingConsents(); len(missing) > 0 {
+		_, _ = fmt.Fprintf(writer, "; awaits %s", strings.Join(missing, ", "))
 	}
 	_, _ = fmt.Fprintln(writer)
 }
--- a/bvdemo/demo.go
+++ b/bvdemo/demo.go
@@ -21,11 +21,11 @@
 
 // Sizes of the demonstration.
 const (
-	daemons     = 3
-	programs    = 60
-	concurrency = 12
-	readyLimit  = 10 * time.Second
-	readyPoll   = 20 * time.Millisecond
+	daemons      = 3
+	programs     = 60
+	concurrency  = 12
+	readyTimeout = 10 * time.Second
+	readyPoll    = 20 * time.Millisecond
 )
 
 // Config says how the demonstration is run. The zero value shows nothing.
@@ -55,20 +55,20 @@
 		Seed:        config.Seed,
 		Counters:    system.services,
 		Engines:     system.engines,
-		Progress:    func(progress bvload.Progress) { show(config.Output, progress) },
+		Progress:    func(progress bvload.Progress) { printProgress(config.Output, progress) },
 	})
 	if err != nil {
 		return bvload.Report{}, err
 	}
-	_, _ = fmt.Fprintf(config.Output, "\n%s\n%s\n", report.Text(), lastLine(report))
+	_, _ = fmt.Fprintf(config.Output, "\n%s\n%s\n", report.Text(), summaryLine(report))
 	return report, nil
 }
 
-func show(output io.Writer, progress bvload.Progress) {
+func printProgress(output io.Writer, progress bvload.Progress) {
 	_, _ = fmt.Fprintf(output, "%d of %d programs finished, %d requests\n", progress.Finished, programs, progress.Requests)
 }
 
-func lastLine(report bvload.Report) string {
+func summaryLine(report bvload.Report) string {
 	return fmt.Sprintf("demo: programs=%d finished=%d requests=%d lost=%d mixed=%d twice=%d p50_ms=%.0f p99_ms=%.0f",
 		report.Programs, report.Finished, report.Requests, report.Lost, report.Mixed, report.Twice,
 		report.All.Program.P50, report.All.Program.P99)
--- a/bvdemo/route.go
+++ b/bvdemo/route.go
@@ -35,9 +35,9 @@
 
 // routeHosts are routing daemons in this process.
 type routeHosts struct {
-	routers []*bvrouter.Router
-	cancel  context.CancelFunc
-	running sync.WaitGroup
+	routers   []*bvrouter.Router
+	cancel    context.CancelFunc
+	waitGroup sync.WaitGroup
 }
 
 // RunRoute serves programs of workspaces with keys and a usage cap on an emulated
@@ -62,11 +62,11 @@
 		Programs: routePrograms, Concurrency: routeCallers, Seed: config.Seed,
 	}.Send(ctx)
 	report.CheckRuns(site.Runs())
-	_, _ = fmt.Fprintf(config.Output, "%s\n%s\n", report.Text(), routeLine(report))
+	_, _ = fmt.Fprintf(config.Output, "%s\n%s\n", report.Text(), routeSummaryLine(report))
 	return report, nil
 }
 
-func routeLine(report *bvemulator.Report) string {
+func routeSummaryLine(report *bvemulator.Report) string {
 	return fmt.Sprintf("demo: programs=%d finished=%d requests=%d mixed=%d twice=%d keys_forwarded=%d unknown_keys_served=%d",
 		report.Programs, report.Finished, report.Requests, report.MixedAnswers, report.RunTwice, report.KeysForwarded, report.UnknownKeysServed)
 }
@@ -110,7 +110,7 @@
 		return err
 	}
 	running.routers = append(running.routers, router)
-	running.running.Go(func() { _ = router.Run(ctx) }) // it ends when it is stopped
+	running.waitGroup.Go(func() { _ = router.Run(ctx) }) // it ends when it is stopped
 	return nil
 }
 
@@ -132,5 +132,5 @@
 
 func (running *routeHosts) stop() {
 	running.cancel()
-	running.running.Wait()
+	running.waitGroup.Wait()
 }
--- a/bvdemo/speed_test.go
+++ b/bvdemo/speed_test.go
@@ -86,11 +86,11 @@
 	histogram := hdrhistogram.New(1, 60_000_000, 3)
 	for i := range b.N {
 		time.Sleep(callPause)
-		begun := time.Now()
+		startTime := time.Now()
 		if err := call(i); err != nil {
 			b.Fatal(err)
 		}
-		_ = histogram.RecordValue(time.Since(begun).Microseconds())
+		_ = histogram.RecordValue(time.Since(startTime).Microseconds())
 	}
 	b.ReportMetric(float64(histogram.ValueAtQuantile(50))/1000, "p50-ms")
 	b.ReportMetric(float64(histogram.ValueAtQuantile(99))/1000, "p99-ms")
@@ -122,7 +122,7 @@
 	var programs atomic.Int64
 	b.SetParallelism(max(1, 256/runtime.GOMAXPROCS(0)))
 	b.ResetTimer()
-	begun := time.Now()
+	startTime := time.Now()
 	b.RunParallel(func(loop *testing.PB) {
 		program, turn := programs.Add(1), 0
 		for loop.Next() {
@@ -136,5 +136,5 @@
 			}
 		}
 	})
-	b.ReportMetric(float64(b.N)/time.Since(begun).Seconds(), "requests/s")
+	b.ReportMetric(float64(b.N)/time.Since(startTime).Seconds(), "requests/s")
 }
--- a/bvdemo/system.go
+++ b/bvdemo/system.go
@@ -31,13 +31,13 @@
 
 // system is everything that runs.
 type system struct {
-	platform string
-	engines  []string
-	services []string
-	daemons  []*bvdaemon.Daemon
-	servers  []*http.Server
-	cancel   context.CancelFunc
-	running  sync.WaitGroup
+	platform  string
+	engines   []string
+	services  []string
+	daemons   []*bvdaemon.Daemon
+	servers   []*http.Server
+	cancel    context.CancelFunc
+	waitGroup sync.WaitGroup
 }
 
 func start(ctx context.Context, output io.Writer) (*system, error) {
@@ -83,9 +83,9 @@
 	if err != nil {
 		return "", fmt.Errorf("demo: %w", err)
 	}
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: readyLimit}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: readyTimeout}
 	system.servers = append(system.servers, server)
-	system.running.Go(func() { _ = server.Serve(listener) })
+	system.waitGroup.Go(func() { _ = server.Serve(listener) })
 	return listener.Addr().String(), nil
 }
 
@@ -122,7 +122,7 @@
 func (system *system) announce(ctx context.Context, endpoint func() bvplatform.Endpoint) {
 	announcer := &bvstandin.Announcer{Client: system.client(), Endpoint: endpoint}
 	_ = announcer.Announce(ctx) // listed before the daemons look; Run announces again
-	system.running.Go(func() { announcer.Run(ctx) })
+	system.waitGroup.Go(func() { announcer.Run(ctx) })
 }
 
 func (system *system) client() *bvplatform.Client {
@@ -149,7 +149,7 @@
 		return err
 	}
 	system.daemons = append(system.daemons, daemon)
-	system.running.Go(func() { _ = daemon.Run(ctx) })
+	system.waitGroup.Go(func() { _ = daemon.Run(ctx) })
 	return nil
 }
 
@@ -177,7 +177,7 @@
 
 // waitUntil waits until all hosts are ready.
 func waitUntil(ctx context.Context, ready func() bool) error {
-	limit, cancel := context.WithTimeout(ctx, readyLimit)
+	limit, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for !ready() {
 		select {
@@ -206,5 +206,5 @@
 	for _, server := range system.servers {
 		_ = server.Close()
 	}
-	system.running.Wait()
+	system.waitGroup.Wait()
 }
--- a/bvexplain/explain.go
+++ b/bvexplain/explain.go
@@ -1,26 +1,27 @@
-// Package bvexplain reads the daemons' structured logs and tells how requests and
-// programs ended, by kind, second, host and cause, and where their time went.
+// Package bvexplain reads the structured logs of daemons and reports the outcomes of
+// requests and programs by route, second, host and cause, and the parts of their
+// latency.
 //
-// It reads line by line. A line may have text before its JSON object, as log
-// collectors put there; the last word of it is taken as the host's name, and the
-// first, if it is a number, as the time in seconds. Lines that can't be read are
-// counted and skipped. Memory is bounded: programs beyond the bound are counted as
-// ended when others come, those first that were silent for longest.
+// A line may have text before its JSON object, as log collectors add it; its last
+// word is taken as the name of the host, and its first word, if it is a number, as
+// the time in seconds. Unreadable lines are counted and skipped. Memory is bounded:
+// above the limit of programs, the program that was idle for longest is evicted and
+// counted as ended.
 //
 // # Usage
 //
 //	account := bvexplain.New(bvexplain.Options{})
-//	err := account.Read(reader) // one file after the other
+//	err := account.Read(reader) // call it once for each file
 //	err = account.Print(os.Stdout)
 //
-// # What the figures are
+// # Figures
 //
 // Times are in milliseconds and come from the fields of the lines
-// (docs/OPERATIONS.md). A request's time is split into waiting here (budget,
-// conversation and choice), waiting at the endpoint until the first event or the
-// answer, the events, and keeping the turn. A program counts as failed by the cause
-// of its last line, if that is a failure; its callers may still have come back to a
-// host whose logs were not read.
+// (docs/OPERATIONS.md). A request's time is split into the wait on the host (for
+// budget, conversation and choice of an endpoint), the wait at the endpoint for the
+// first event or the answer, the stream of events, and the time to persist the turn.
+// A program whose last line is a failure counts as failed by the cause of that line,
+// although its caller may have retried at a host whose logs were not read.
 package bvexplain
 
 import (
@@ -32,66 +33,66 @@
 )
 
 const (
-	// defaultPrograms bounds the programs that are remembered at once: the 140,000
-	// to design for.
-	defaultPrograms = 140_000
-	// longestLine bounds a line, in bytes; the daemons' have some 300.
-	longestLine = 1 << 20
-	// mostBroken is how many lines that can't be read are shown.
-	mostBroken = 5
+	// defaultPrograms bounds the programs in memory: 140,000 is the number
+	// that the system is designed for.
+	defaultMaxPrograms = 140_000
+	// longestLine bounds the length of a line; lines of daemons have some 300 bytes.
+	maxLineBytes = 1 << 20
+	// mostBroken is the number of unreadable lines that are printed.
+	maxUnreadableExamples = 5
 )
 
-// Options choose what is counted. The zero value counts all.
+// Options select the lines that are counted. The zero value selects all.
 type Options struct {
-	From, To float64 // seconds, of lines that tell their time; To 0 means no end
-	Request  string  // show the lines of this request or program, in their order
-	Programs int     // remembered at once; 0 means 140,000
+	From, To float64 // range of the lines' times in seconds, To excluded; To 0: no end
+	Request  string  // print the lines of this request or program, in order
+	Programs int     // bound of the programs in memory; 0: 140,000
 }
 
-// Account is what was read. Make one with New.
+// Account sums up the lines that were read. Make one with New.
 type Account struct {
-	options  Options
-	lines    int
-	brokenAt []string // the first lines that could not be read
-	broken   int
+	options            Options
+	lines              int
+	unreadableExamples []string // the first unreadable lines
+	unreadableLines    int
 
-	kinds    table
-	seconds  table
-	hosts    table
-	causes   map[string]*cause
-	ended    map[string]*cause // programs by the cause of their last line
-	programs *simplelru.LRU[string, *program]
-	begun    int
-	events   []event // of the processes
-	shown    []string
+	routes       table
+	seconds      table
+	hosts        table
+	causes       map[string]*cause
+	endCauses    map[string]*cause // programs by the cause of their last line
+	programs     *simplelru.LRU[string, *program]
+	programCount int
+	events       []event // of processes
+	matchedLines []string
 }
 
 // New returns an empty account.
 func New(options Options) *Account {
 	if options.Programs <= 0 {
-		options.Programs = defaultPrograms
+		options.Programs = defaultMaxPrograms
 	}
 	account := &Account{
-		options: options, kinds: table{}, seconds: table{}, hosts: table{},
-		causes: make(map[string]*cause), ended: make(map[string]*cause),
+		options: options, routes: table{}, seconds: table{}, hosts: table{},
+		causes: make(map[string]*cause), endCauses: make(map[string]*cause),
 	}
-	account.programs, _ = simplelru.NewLRU(options.Programs, func(_ string, program *program) { account.end(program) })
+	account.programs, _ = simplelru.NewLRU(options.Programs, func(_ string, program *program) { account.countEnded(program) })
 	return account
 }
 
-// Read takes in one log. The error is the reader's; lines that can't be read are no
-// error.
+// Read reads one log. It returns only errors of the reader; unreadable lines are
+// counted.
 func (account *Account) Read(reader io.Reader) error {
 	scanner := bufio.NewScanner(reader)
-	scanner.Buffer(make([]byte, 64<<10), longestLine)
+	scanner.Buffer(make([]byte, 64<<10), maxLineBytes)
 	for scanner.Scan() {
 		account.lines++
 		line, err := parse(scanner.Bytes())
 		if err != nil {
-			account.noteBroken(err)
+			account.addUnreadable(err)
 			continue
 		}
-		account.take(line, scanner.Text())
+		account.addLine(line, scanner.Text())
 	}
 	if err := scanner.Err(); err != nil {
 		return fmt.Errorf("explain: after line %d: %w", account.lines, err)
@@ -99,30 +100,30 @@
 	return nil
 }
 
-func (account *Account) noteBroken(err error) {
-	account.broken++
-	if len(account.brokenAt) < mostBroken {
-		account.brokenAt = append(account.brokenAt, fmt.Sprintf("line %d: %v", account.lines, err))
+func (account *Account) addUnreadable(err error) {
+	account.unreadableLines++
+	if len(account.unreadableExamples) < maxUnreadableExamples {
+		account.unreadableExamples = append(account.unreadableExamples, fmt.Sprintf("line %d: %v", account.lines, err))
 	}
 }
 
-// take counts one line.
-func (account *Account) take(line *line, text string) {
+// addLine counts one line.
+func (account *Account) addLine(line *line, text string) {
 	if line.at < account.options.From || account.options.To > 0 && line.at >= account.options.To {
 		return
 	}
 	if wanted := account.options.Request; wanted != "" && (line.Request == wanted || isProgram(line.Program, wanted)) {
-		account.shown = append(account.shown, text)
+		account.matchedLines = append(account.matchedLines, text)
 	}
-	if !line.ofRequest() {
-		account.noteEvent(line)
+	if !line.isRequest() {
+		account.addEvent(line)
 		return
 	}
-	account.kinds.row(line.Route).add(line)
+	account.routes.row(line.Route).add(line)
 	account.seconds.row(fmt.Sprintf("%8.0f", line.second())).add(line)
 	account.hosts.row(line.host).add(line)
 	if line.Error != "" {
-		noteCause(account.causes, line.cause(), line)
+		addCause(account.causes, line.cause(), line)
 	}
-	account.takeProgram(line)
+	account.addToProgram(line)
 }
--- a/bvexplain/explain_test.go
+++ b/bvexplain/explain_test.go
@@ -32,25 +32,25 @@
 
 func TestTimeOfATurnIsSplit(t *testing.T) {
 	account := read(t, Options{}, "12.5 host-a "+answered)
-	row := account.kinds["talk"]
+	row := account.routes["talk"]
 	require.Equal(t, 1, row.answered)
 	require.InDelta(t, 3, row.here.value(), 0)
 	require.InDelta(t, 27, row.endpoint.value(), 0)
 	require.InDelta(t, 261, row.events.value(), 0)
-	require.InDelta(t, 9, row.kept.value(), 0)
-	require.Equal(t, 1000, row.read)
+	require.InDelta(t, 9, row.persist.value(), 0)
+	require.Equal(t, 1000, row.uncachedTokens)
 	require.Contains(t, account.hosts, "host-a")
 	require.Contains(t, account.seconds, fmt.Sprintf("%8.0f", 12.0))
 }
 
-func TestTimeOfALineIsItsOwnWithoutACollectors(t *testing.T) {
+func TestTimeOfALineWithoutACollectorsIsItsOwn(t *testing.T) {
 	account := read(t, Options{From: 1769418041, To: 1769418042}, answered, refused)
-	require.Equal(t, 0, account.kinds["talk"].answered)
-	require.Equal(t, 1, account.kinds["talk"].refused)
+	require.Equal(t, 0, account.routes["talk"].answered)
+	require.Equal(t, 1, account.routes["talk"].refused)
 }
 
-// Guards against lines that were cut off and end the reading of a log.
-func TestBrokenLinesAreToldAndSkipped(t *testing.T) {
+// Guards against a truncated line that ends the reading of a log.
+func TestUnreadableLinesAreReportedAndSkipped(t *testing.T) {
 	account := read(t, Options{}, "host-a "+answered, answered[:50], "collector restarted", "host-b "+refused)
 	text := printed(t, account)
 	require.Contains(t, text, "lines 4, not read 2; programs 2")
@@ -65,7 +65,8 @@
 	require.Contains(t, text, "      1  answered")
 }
 
-// Errors that differ in ids, addresses and numbers alone have one cause.
+// Guards against errors that differ only in ids, addresses and numbers and are counted
+// as several causes.
 func TestErrorsOfOneCauseAreCountedTogether(t *testing.T) {
 	other := strings.ReplaceAll(refused, "engines of m", "engines of i-4711 at 10.0.0.1:80 for 17ms")
 	another := strings.ReplaceAll(refused, "engines of m", "engines of i-4712 at 10.0.0.2:81 for 4ms")
@@ -78,7 +79,7 @@
 	require.NotContains(t, text, "  1 a ")
 }
 
-// Guards against a workspace's program that is not found by its caller's id.
+// Guards against a workspace's program that is not found by the id that its caller chose.
 func TestLinesOfAWorkspacesProgramAreShown(t *testing.T) {
 	ana := strings.ReplaceAll(refused, `"p2"`, `"@ana/p2"`)
 	bor := strings.ReplaceAll(refused, `"p2"`, `"@bor/p22"`)
@@ -87,13 +88,13 @@
 	require.NotContains(t, text, "  2 b ")
 }
 
-// Guards against programs of two workspaces that are counted as one.
+// Guards against programs of two workspaces with the same id that are counted as one.
 func TestProgramsOfTwoWorkspacesAreTwo(t *testing.T) {
 	ana, bor := strings.ReplaceAll(answered, `"p1"`, `"@ana/p1"`), strings.ReplaceAll(answered, `"p1"`, `"@bor/p1"`)
 	require.Contains(t, printed(t, read(t, Options{}, ana, bor)), "programs 2")
 }
 
-// Guards against programs beyond the bound that are not counted, or held.
+// Guards against programs above the bound that stay in memory or are not counted.
 func TestProgramsBeyondTheBoundAreCounted(t *testing.T) {
 	account := New(Options{Programs: 10})
 	for i := range 1000 {
@@ -102,10 +103,10 @@
 		require.LessOrEqual(t, account.programs.Len(), 10)
 	}
 	printed(t, account)
-	require.Equal(t, 1000, account.ended[endedWell].count)
+	require.Equal(t, 1000, account.endCauses[answeredCause].count)
 }
 
-func TestStartsAndOutagesOfHostsAreTold(t *testing.T) {
+func TestStartsAndOutagesOfHostsAreReported(t *testing.T) {
 	text := printed(t, read(t, Options{}, `7 host-b {"level":"warning","msg":"store: lost","time":"2026-01-26T09:00:41Z"}`))
 	require.Contains(t, text, "host-b               store: lost")
 }
--- a/bvexplain/line.go
+++ b/bvexplain/line.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// line is one line of a daemon's log. Its fields are those of the log; a field
-// that is not there is zero.
+// line is one line of a daemon's log. The exported fields are the fields of the log;
+// missing ones are zero.
 type line struct {
 	Message  string    `json:"msg"`
 	Level    string    `json:"level"`
@@ -32,13 +32,13 @@
 	Prompt   int       `json:"prompt"`
 	Cached   int       `json:"cached"`
 
-	at   float64 // when it was written, in seconds
+	at   float64 // time of the line, in seconds
 	host string
 }
 
 var errNoObject = errors.New("no JSON object")
 
-// parse reads a line.
+// parse parses a line, with or without a collector's text before the JSON object.
 func parse(text []byte) (*line, error) {
 	start := bytes.IndexByte(text, '{')
 	if start < 0 {
@@ -60,27 +60,28 @@
 	return &line, nil
 }
 
-// ofRequest reports whether the line tells the end of a request.
-func (line *line) ofRequest() bool { return strings.HasPrefix(line.Message, "request ") }
+// isRequest reports whether the line states the outcome of a request.
+func (line *line) isRequest() bool { return strings.HasPrefix(line.Message, "request ") }
 
 func (line *line) second() float64 { return math.Floor(line.at) }
 
-// notRun marks, in an error, a request that has not run.
+// notRun is the part of an error that marks a request as not run.
 const notRun = "(not run)"
 
-func (line *line) refused() bool { return strings.Contains(line.Error, notRun) }
+func (line *line) isRefused() bool { return strings.Contains(line.Error, notRun) }
 
-// names are what differs between errors of one cause: ids, addresses and numbers.
-var names = regexp.MustCompile(`\bi-[0-9a-f]+\b|\b[0-9a-f]{8,}\b|\b\d+(\.\d+)*(:\d+)?(ms|s)?\b`)
+// variableParts matches the parts that differ between errors of one cause: ids,
+// addresses and numbers.
+var variableParts = regexp.MustCompile(`\bi-[0-9a-f]+\b|\b[0-9a-f]{8,}\b|\b\d+(\.\d+)*(:\d+)?(ms|s)?\b`)
 
-// longestCause bounds the text of a cause: what was behind it is left out.
-const longestCause = 100
+// maxCauseBytes is the length to which the text of a cause is truncated.
+const maxCauseBytes = 100
 
-// cause is the error without what differs between requests.
+// cause returns the error with the parts replaced that differ between requests.
 func (line *line) cause() string {
-	text := names.ReplaceAllString(line.Error, "N")
-	if len(text) > longestCause {
-		text = text[:longestCause]
+	text := variableParts.ReplaceAllString(line.Error, "N")
+	if len(text) > maxCauseBytes {
+		text = text[:maxCauseBytes]
 	}
 	return text
 }
--- a/bvexplain/print.go
+++ b/bvexplain/print.go
@@ -8,34 +8,34 @@
 	"slices"
 )
 
-// mostCauses is how many causes are printed, the most frequent first.
-const mostCauses = 20
+// maxPrintedCauses is the number of causes that are printed, the most frequent first.
+const maxPrintedCauses = 20
 
-// Print writes the account as text. Programs that are still remembered count as
+// Print writes the account as text. Programs that are still in memory are counted as
 // ended.
 func (account *Account) Print(output io.Writer) error {
 	account.programs.Purge()
 	printer := &printer{output: output}
-	printer.line("lines %d, not read %d; programs %d", account.lines, account.broken, account.begun)
-	for _, broken := range account.brokenAt {
+	printer.line("lines %d, not read %d; programs %d", account.lines, account.unreadableLines, account.programCount)
+	for _, broken := range account.unreadableExamples {
 		printer.line("  not read: %s", broken)
 	}
 	if account.options.Request != "" {
 		printer.line("\nlines of %s", account.options.Request)
-		for _, text := range account.shown {
+		for _, text := range account.matchedLines {
 			printer.line("  %s", text)
 		}
 	}
-	printer.table("route", account.kinds)
+	printer.table("route", account.routes)
 	printer.table("host", account.hosts)
 	printer.table("second", account.seconds)
 	printer.causes("requests that were refused or failed, by cause", account.causes)
-	printer.causes("programs by their last request", account.ended)
+	printer.causes("programs by their last request", account.endCauses)
 	printer.events(account.events)
 	return printer.err
 }
 
-// printer keeps the first error.
+// printer writes lines until the first error, which it keeps.
 type printer struct {
 	output io.Writer
 	err    error
@@ -53,15 +53,15 @@
 	for _, name := range slices.Sorted(maps.Keys(table)) {
 		row := table[name]
 		read := 0.0
-		if row.prompt > 0 {
-			read = 100 * float64(row.read) / float64(row.prompt)
+		if row.promptTokens > 0 {
+			read = 100 * float64(row.uncachedTokens) / float64(row.promptTokens)
 		}
 		if name == "" {
 			name = "(none)"
 		}
 		printer.line("%-20s %8d %7d %7d %7d %7d %6.0f %8.0f %7.0f %6.0f %6.0f", name,
-			row.answered, row.refused, row.failed, row.took.quantile(0.5), row.took.quantile(0.95),
-			row.here.value(), row.endpoint.value(), row.events.value(), row.kept.value(), read)
+			row.answered, row.refused, row.failed, row.duration.quantile(0.5), row.duration.quantile(0.95),
+			row.here.value(), row.endpoint.value(), row.events.value(), row.persist.value(), read)
 	}
 }
 
@@ -70,12 +70,12 @@
 	names := slices.SortedFunc(maps.Keys(causes), func(a, b string) int {
 		return cmp.Or(cmp.Compare(causes[b].count, causes[a].count), cmp.Compare(a, b))
 	})
-	for _, name := range names[:min(len(names), mostCauses)] {
+	for _, name := range names[:min(len(names), maxPrintedCauses)] {
 		example := causes[name].example
 		printer.line("%7d  %s (such as request %s of program %q on host %q)",
 			causes[name].count, name, example.Request, example.Program, example.host)
 	}
-	if left := len(names) - mostCauses; left > 0 {
+	if left := len(names) - maxPrintedCauses; left > 0 {
 		printer.line("         and %d more", left)
 	}
 }
--- a/bvexplain/program.go
+++ b/bvexplain/program.go
@@ -2,22 +2,22 @@
 
 import "strings"
 
-// program is a program as far as its lines were read.
+// program is the state of a program after the lines read so far.
 type program struct {
 	id       string
 	requests int
 	last     *line
 }
 
-// takeProgram notes a line of a program.
-func (account *Account) takeProgram(line *line) {
+// addToProgram counts a line for its program.
+func (account *Account) addToProgram(line *line) {
 	if line.Program == "" {
 		return
 	}
 	found, known := account.programs.Get(line.Program)
 	if !known {
 		found = &program{id: line.Program}
-		account.begun++
+		account.programCount++
 		account.programs.Add(line.Program, found)
 	}
 	found.requests++
@@ -26,28 +26,28 @@
 	}
 }
 
-// endedWell stands for the cause of programs whose last line is an answer.
-const endedWell = "answered"
+// answeredCause is the cause of programs whose last line is an answer.
+const answeredCause = "answered"
 
-// end counts a program by its last line.
-func (account *Account) end(program *program) {
-	name := endedWell
+// countEnded counts a program by the cause of its last line.
+func (account *Account) countEnded(program *program) {
+	name := answeredCause
 	if program.last.Error != "" {
 		name = program.last.cause()
 	}
-	noteCause(account.ended, name, program.last)
+	addCause(account.endCauses, name, program.last)
 }
 
-// cause counts what ended in the same way, with one example.
+// cause counts requests or programs that ended for the same reason, with one example.
 type cause struct {
 	count   int
 	example *line
 }
 
-func noteCause(causes map[string]*cause, name string, example *line) {
+func addCause(causes map[string]*cause, name string, example *line) {
 	found := causes[name]
-	if found == nil && len(causes) >= mostRows {
-		name, found = others, causes[others]
+	if found == nil && len(causes) >= maxRows {
+		name, found = otherRows, causes[otherRows]
 	}
 	if found == nil {
 		found = &cause{example: example}
@@ -63,24 +63,24 @@
 	text string
 }
 
-// told are the lines about a process that matter to requests.
-var told = map[string]bool{
+// reportedMessages are the messages about a process that matter to requests.
+var reportedMessages = map[string]bool{
 	"started": true, "stopped": true, "leaving: no longer ready": true, "desired state in force": true,
 	"store: lost": true, "store: regained": true, "desired state: lost": true, "desired state: regained": true,
 	"list of endpoints: lost": true, "list of endpoints: regained": true, "log lines dropped": true,
 }
 
-// mostEvents bounds the lines about processes that are kept.
-const mostEvents = 10_000
+// maxEvents bounds the lines about processes in memory.
+const maxEvents = 10_000
 
-func (account *Account) noteEvent(line *line) {
-	if told[line.Message] && len(account.events) < mostEvents {
+func (account *Account) addEvent(line *line) {
+	if reportedMessages[line.Message] && len(account.events) < maxEvents {
 		account.events = append(account.events, event{line.at, line.host, line.Message})
 	}
 }
 
-// isProgram reports whether a program of a line is the wanted one. In logs the id that a
-// caller chose comes after its workspace.
+// isProgram reports whether the program of a line is the wanted one. In logs, the id that
+// a caller chose follows the name of its workspace.
 func isProgram(logged, wanted string) bool {
 	return logged == wanted || strings.HasPrefix(logged, "@") && strings.HasSuffix(logged, "/"+wanted)
 }
--- a/bvexplain/row.go
+++ b/bvexplain/row.go
@@ -8,16 +8,16 @@
 // table holds rows by name.
 type table map[string]*row
 
-// mostRows bounds a table: a day has 86,400 seconds.
-const mostRows = 100_000
+// maxRows bounds a table; a day has 86,400 rows of one second.
+const maxRows = 100_000
 
-// others is the row for all names beyond the bound.
-const others = "others"
+// otherRows is the name of the row for all names above the bound.
+const otherRows = "others"
 
 func (table table) row(name string) *row {
 	found := table[name]
-	if found == nil && len(table) >= mostRows {
-		name, found = others, table[others]
+	if found == nil && len(table) >= maxRows {
+		name, found = otherRows, table[otherRows]
 	}
 	if found == nil {
 		found = &row{}
@@ -26,39 +26,39 @@
 	return found
 }
 
-// row counts requests.
+// row counts requests and sums up their times and tokens.
 type row struct {
-	answered, refused, failed int
-	took                      sample
-	here, endpoint, events    mean
-	kept                      mean
-	prompt, read              int
+	answered, refused, failed    int
+	duration                     sample
+	here, endpoint, events       mean
+	persist                      mean
+	promptTokens, uncachedTokens int
 }
 
 func (row *row) add(line *line) {
 	switch {
 	case line.Error == "":
 		row.answered++
-	case line.refused():
+	case line.isRefused():
 		row.refused++
 		return
 	default:
 		row.failed++
 	}
-	row.took.add(line.Took)
+	row.duration.add(line.Took)
 	if line.Sends == 0 {
 		return
 	}
 	row.here.add(line.Sent)
-	row.prompt += line.Prompt
-	row.read += max(line.Prompt-line.Cached, 0)
+	row.promptTokens += line.Prompt
+	row.uncachedTokens += max(line.Prompt-line.Cached, 0)
 	if line.Events == 0 {
 		row.endpoint.add(line.Took - line.Sent)
 		return
 	}
 	row.endpoint.add(line.First - line.Sent)
 	row.events.add(line.Took - line.First - line.Kept)
-	row.kept.add(line.Kept)
+	row.persist.add(line.Kept)
 }
 
 // mean is a sum and a count.
@@ -79,12 +79,12 @@
 	return float64(mean.sum) / float64(mean.count)
 }
 
-// sampleSize is how many values a sample keeps: the 95th percentile of so many is
-// off by some two percent of rank. A day's seconds take 100 MB with it; a histogram
-// for each would take twenty times as much.
+// sampleSize is the number of values in a sample: the 95th percentile of that many is
+// off by about two percent of rank. The rows for the seconds of a day take 100 MB;
+// a histogram for each would take twenty times as much.
 const sampleSize = 150
 
-// sample keeps some of many values, each with the same chance.
+// sample is a uniform random sample (reservoir sampling) of the added values.
 type sample struct {
 	values []int64
 	count  int
@@ -98,14 +98,14 @@
 		return
 	}
 	if sample.random == nil {
-		sample.random = rand.New(rand.NewPCG(1, 1)) // the same log gives the same figures
+		sample.random = rand.New(rand.NewPCG(1, 1)) // fixed seed, so that the same log gives the same figures
 	}
 	if at := sample.random.IntN(sample.count); at < sampleSize {
 		sample.values[at] = value
 	}
 }
 
-// quantile returns the value below which a share of them lie.
+// quantile returns the value below which the given share of the sample lies.
 func (sample *sample) quantile(share float64) int64 {
 	if len(sample.values) == 0 {
 		return 0
