--- a/bvstatus/gather.go
+++ b/bvstatus/gather.go
@@ -7,26 +7,26 @@
 	"balsamvalve.example/bvclock"
 )
 
-// gatherLimit bounds how long the hosts are waited for. A frozen host, or one
-// that was cut off, never answers; the operator needs the others' state then.
-const gatherLimit = bvclock.Second
+// gatherTimeout bounds the wait for the hosts' reports. A frozen or unreachable host
+// never answers; the operator needs the others' state in that case.
+const gatherTimeout = bvclock.Second
 
-// Gather asks all hosts at once. The answer holds a report for each of them:
-// its own, or the one given if the host doesn't answer in time.
-func Gather(ctx context.Context, hosts []Report, ask func(ctx context.Context, host string) (Report, error)) []Report {
-	ctx, cancel := context.WithTimeout(ctx, gatherLimit.Std())
+// Gather queries all hosts concurrently. It returns a report for each of them: the
+// host's own, or the one in hosts if the host doesn't answer in time.
+func Gather(ctx context.Context, hosts []Report, query func(ctx context.Context, host string) (Report, error)) []Report {
+	ctx, cancel := context.WithTimeout(ctx, gatherTimeout.Std())
 	defer cancel()
 	reports := make([]Report, len(hosts))
-	var asked sync.WaitGroup
+	var queries sync.WaitGroup
 	for i, host := range hosts {
-		asked.Go(func() {
-			report, err := ask(ctx, host.Host)
+		queries.Go(func() {
+			report, err := query(ctx, host.Host)
 			if err != nil {
 				report = host
 			}
 			reports[i] = report
 		})
 	}
-	asked.Wait()
+	queries.Wait()
 	return reports
 }
--- a/bvstatus/print.go
+++ b/bvstatus/print.go
@@ -10,22 +10,22 @@
 	"unicode/utf8"
 )
 
-// Width is the most columns that Print uses.
+// Width is the maximum line width of Print, in columns.
 const Width = 80
 
 // Widths of cells, in columns. The widest line, that of an endpoint, has
 // cells of 20, 7, 14, 12, 7 and 9 columns with 2 between each two.
 const (
-	nameWidth  = 20
-	servesCell = 14
-	zoneCell   = 12
-	gap        = 2
+	nameWidth   = 20
+	servesWidth = 14
+	zoneWidth   = 12
+	columnGap   = 2
 )
 
 // Print writes the status as tables of at most Width columns.
 func (status *Status) Print(output io.Writer) error {
 	printer := &printer{output: output}
-	printer.line("asked %s as %s; table version %d", short(status.Host, nameWidth), short(status.Member, nameWidth), status.Version)
+	printer.line("asked %s as %s; table version %d", truncate(status.Host, nameWidth), truncate(status.Member, nameWidth), status.Version)
 	printer.hosts(status.Hosts)
 	printer.endpoints(status.Endpoints)
 	printer.members(status.Members)
@@ -50,11 +50,11 @@
 		return
 	}
 	printer.line("")
-	writer := tabwriter.NewWriter(printer.output, 0, 0, gap, ' ', 0)
+	writer := tabwriter.NewWriter(printer.output, 0, 0, columnGap, ' ', 0)
 	_, _ = fmt.Fprintln(writer, strings.ReplaceAll(header, " ", "\t"))
 	width := strings.Count(header, " ") + 1
 	for _, row := range rows {
-		// A row with fewer cells would end the alignment of the columns.
+		// tabwriter would end the alignment of a column at a row without its cell.
 		row = append(row, make([]string, width-len(row))...)
 		_, _ = fmt.Fprintln(writer, strings.Join(row, "\t"))
 	}
@@ -65,7 +65,7 @@
 	var rows [][]string
 	for _, host := range hosts {
 		rows = append(rows, []string{
-			short(host.Name, nameWidth), short(host.Zone, zoneCell), host.State, versionText(host), confirmedText(host),
+			truncate(host.Name, nameWidth), truncate(host.Zone, zoneWidth), host.State, versionText(host), confirmedText(host),
 		})
 	}
 	printer.table("HOST ZONE STATE VERSION CONFIRMED", rows)
@@ -99,8 +99,8 @@
 			state = "ejected"
 		}
 		rows = append(rows, []string{
-			short(endpoint.Name, nameWidth), endpoint.Kind, short(endpoint.Serves, servesCell),
-			short(endpoint.Zone, zoneCell), state, fmt.Sprintf("%d/%d", endpoint.Running, endpoint.Slots),
+			truncate(endpoint.Name, nameWidth), endpoint.Kind, truncate(endpoint.Serves, servesWidth),
+			truncate(endpoint.Zone, zoneWidth), state, fmt.Sprintf("%d/%d", endpoint.Running, endpoint.Slots),
 		})
 	}
 	printer.table("ENDPOINT KIND SERVES ZONE STATE RUNNING", rows)
@@ -109,10 +109,10 @@
 func (printer *printer) members(members []Member) {
 	var rows [][]string
 	for _, member := range members {
-		row := []string{short(member.Name, nameWidth), shareText(member.Share)}
-		if own := member.Details; own != nil {
-			row = append(row, fmt.Sprintf("%.0f", own.Work), fmt.Sprint(own.Queued), fmt.Sprint(own.Running),
-				fmt.Sprint(own.Programs), fmt.Sprint(sum(own.Refusals)))
+		row := []string{truncate(member.Name, nameWidth), shareText(member.Share)}
+		if details := member.Details; details != nil {
+			row = append(row, fmt.Sprintf("%.0f", details.Work), fmt.Sprint(details.Queued), fmt.Sprint(details.Running),
+				fmt.Sprint(details.Programs), fmt.Sprint(sum(details.Refusals)))
 		}
 		rows = append(rows, row)
 	}
@@ -145,12 +145,12 @@
 	}
 	printer.line("")
 	for _, name := range slices.Sorted(maps.Keys(counters)) {
-		printer.line("  %-45s %12d", short(name, 45), counters[name])
+		printer.line("  %-45s %12d", truncate(name, 45), counters[name])
 	}
 }
 
-// short cuts a text to a width, with a mark where something is missing.
-func short(text string, width int) string {
+// truncate shortens a text to a width and marks the cut with "~".
+func truncate(text string, width int) string {
 	if utf8.RuneCountInString(text) <= width {
 		return text
 	}
--- a/bvstatus/status.go
+++ b/bvstatus/status.go
@@ -7,15 +7,15 @@
 	"balsamvalve.example/bvclock"
 )
 
-// Status is what an operator sees.
+// Status is the state of the system as operators of one member see it.
 type Status struct {
 	Member    string           `json:"member"`  // of the operator's key
-	Host      string           `json:"host"`    // that was asked
+	Host      string           `json:"host"`    // that was queried
 	Version   int64            `json:"version"` // highest in force
 	Hosts     []Host           `json:"hosts"`
 	Endpoints []Endpoint       `json:"endpoints"`
 	Members   []Member         `json:"members"`
-	Counters  map[string]int64 `json:"counters"` // of the host that was asked
+	Counters  map[string]int64 `json:"counters"` // of the host that was queried
 }
 
 // Host is a host of the platform's list.
@@ -25,8 +25,8 @@
 	State     string           `json:"state"` // live or leaving
 	Answered  bool             `json:"answered"`
 	Version   int64            `json:"version,omitempty"`          // 0: not known
-	Confirmed bvclock.Duration `json:"confirmed_ago_ms,omitempty"` // since somebody confirmed the version
-	Refusing  bool             `json:"refusing,omitempty"`         // not confirmed for too long: takes no new work
+	Confirmed bvclock.Duration `json:"confirmed_ago_ms,omitempty"` // since the version was last confirmed
+	Refusing  bool             `json:"refusing,omitempty"`         // not confirmed for too long: refuses new calls
 	Behind    bool             `json:"behind,omitempty"`           // has an older version than another host
 }
 
@@ -39,10 +39,10 @@
 	State   string `json:"state"` // live or leaving
 	Running int    `json:"running"`
 	Slots   int    `json:"slots"`
-	Ejected bool   `json:"ejected,omitempty"` // failed calls, probed later
+	Ejected bool   `json:"ejected,omitempty"` // because calls failed; probed later
 }
 
-// Member is a member. Of rivals only the share is shown.
+// Member is a member. Only the share of other members is shown.
 type Member struct {
 	Name    string         `json:"name"`
 	Share   float64        `json:"share"` // percent; 0 before the first table
@@ -58,14 +58,14 @@
 	Refusals map[string]int64 `json:"refusals"` // by verdict/code, since the hosts started
 }
 
-// Merge builds what an operator of the given member sees from the reports of
-// all hosts. Endpoints and members come with what the lists and the table
-// say; Merge fills in the rest.
+// Merge builds the status for operators of the given member from the reports of all
+// hosts. Endpoints and members have the fields of the lists and the table set; Merge
+// sets the others.
 func Merge(member string, endpoints []Endpoint, members []Member, reports []Report) Status {
 	status := Status{Member: member, Endpoints: slices.Clone(endpoints), Members: slices.Clone(members)}
 	status.addHosts(reports)
 	status.addEndpoints(reports)
-	status.addOwn(reports)
+	status.addMemberDetails(reports)
 	return status
 }
 
@@ -88,51 +88,51 @@
 	slices.SortFunc(status.Hosts, func(a, b Host) int { return strings.Compare(a.Name, b.Name) })
 }
 
-// addEndpoints adds up the calls of all hosts: while the decision for a pool
-// moves from one host to another, both have granted some.
+// addEndpoints sums the calls of all hosts: while the role of a pool's grantor moves
+// from one host to another, both have granted some of the running calls.
 func (status *Status) addEndpoints(reports []Report) {
-	places := make(map[string]*Endpoint, len(status.Endpoints))
+	byName := make(map[string]*Endpoint, len(status.Endpoints))
 	for i := range status.Endpoints {
-		places[status.Endpoints[i].Name] = &status.Endpoints[i]
+		byName[status.Endpoints[i].Name] = &status.Endpoints[i]
 	}
 	for _, report := range reports {
-		for _, known := range report.Endpoints {
-			endpoint := places[known.Endpoint]
+		for _, endpointReport := range report.Endpoints {
+			endpoint := byName[endpointReport.Endpoint]
 			if endpoint == nil {
 				continue
 			}
-			endpoint.Running += known.Running
-			endpoint.Ejected = endpoint.Ejected || known.Ejected
+			endpoint.Running += endpointReport.Running
+			endpoint.Ejected = endpoint.Ejected || endpointReport.Ejected
 		}
 	}
 	slices.SortFunc(status.Endpoints, func(a, b Endpoint) int { return strings.Compare(a.Name, b.Name) })
 }
 
-func (status *Status) addOwn(reports []Report) {
+func (status *Status) addMemberDetails(reports []Report) {
 	slices.SortFunc(status.Members, func(a, b Member) int { return strings.Compare(a.Name, b.Name) })
-	own := &MemberDetails{Refusals: make(map[string]int64)}
-	known := false
+	details := &MemberDetails{Refusals: make(map[string]int64)}
+	isKnown := false
 	for _, report := range reports {
-		known = known || report.Member.Known
-		own.add(report.Member)
+		isKnown = isKnown || report.Member.Known
+		details.add(report.Member)
 	}
 	at := slices.IndexFunc(status.Members, func(member Member) bool { return member.Name == status.Member })
 	switch {
 	case at >= 0:
-		status.Members[at].Details = own
-	case known:
+		status.Members[at].Details = details
+	case isKnown:
 		// Before the first table, members with a key are served although no
 		// row gives them a share.
-		status.Members = append(status.Members, Member{Name: status.Member, Details: own})
+		status.Members = append(status.Members, Member{Name: status.Member, Details: details})
 	}
 }
 
-func (own *MemberDetails) add(report MemberReport) {
-	own.Work += report.Work
-	own.Queued += report.Queued
-	own.Running += report.Running
-	own.Programs += report.Programs
+func (details *MemberDetails) add(report MemberReport) {
+	details.Work += report.Work
+	details.Queued += report.Queued
+	details.Running += report.Running
+	details.Programs += report.Programs
 	for kind, count := range report.Refusals {
-		own.Refusals[kind] += count
+		details.Refusals[kind] += count
 	}
 }
--- a/bvstatus/status_test.go
+++ b/bvstatus/status_test.go
@@ -27,7 +27,7 @@
 		[]Member{{Name: "piran", Share: 60}, {Name: "bolts", Share: 40}}, twoReports())
 }
 
-func TestMergeAddsUpWhatTheHostsSay(t *testing.T) {
+func TestMergeSumsTheHostsReports(t *testing.T) {
 	status := mergeFor("piran")
 	require.Equal(t, int64(7), status.Version)
 	require.Equal(t, []string{"host-1", "host-2", "host-3"},
@@ -35,11 +35,11 @@
 	require.True(t, status.Hosts[1].Behind)
 	require.False(t, status.Hosts[2].Answered)
 	require.Equal(t, Endpoint{Name: "engine-1", Running: 3, Slots: 8, Ejected: true}, status.Endpoints[0])
-	own := &MemberDetails{Work: 120, Running: 1, Programs: 3, Refusals: map[string]int64{"not run/overloaded": 3}}
-	require.Equal(t, Member{Name: "piran", Share: 60, Details: own}, status.Members[1])
+	details := &MemberDetails{Work: 120, Running: 1, Programs: 3, Refusals: map[string]int64{"not run/overloaded": 3}}
+	require.Equal(t, Member{Name: "piran", Share: 60, Details: details}, status.Members[1])
 }
 
-func TestStatusShowsOfRivalsTheShareAlone(t *testing.T) {
+func TestStatusShowsOnlyTheShareOfOtherMembers(t *testing.T) {
 	require.Equal(t, Member{Name: "bolts", Share: 40}, mergeFor("piran").Members[0])
 }
 
