--- a/bvexperiment/lifecycle.go
+++ b/bvexperiment/lifecycle.go
@@ -8,15 +8,15 @@
 
 // startProgram starts a program.
 func (simulation *simulation) startProgram(spec *spec, parent *program) {
-	begun := newProgram(spec, parent)
-	simulation.programs[spec.key] = begun
-	begun.exchangeStart = simulation.now
+	started := newProgram(spec, parent)
+	simulation.programs[spec.key] = started
+	started.exchangeStart = simulation.now
 	simulation.programsStarted++
-	begun.startOrder = simulation.programsStarted
+	started.startOrder = simulation.programsStarted
 	if parent == nil {
 		simulation.records.programsStarted++
 	}
-	simulation.submitNext(begun)
+	simulation.submitNext(started)
 }
 
 func (simulation *simulation) submitNext(program *program) {
--- a/bvexperiment/program.go
+++ b/bvexperiment/program.go
@@ -41,12 +41,12 @@
 }
 
 func newProgram(spec *spec, parent *program) *program {
-	begun := &program{spec: spec, parent: parent}
-	begun.root = begun
+	created := &program{spec: spec, parent: parent}
+	created.root = created
 	if parent != nil {
-		begun.root = parent.root
+		created.root = parent.root
 	}
-	return begun
+	return created
 }
 
 // nextCall returns the program's next call.
--- a/bvexperiment/scenario.go
+++ b/bvexperiment/scenario.go
@@ -240,7 +240,7 @@
 }
 
 // weekly has conversations whose histories together do not fit in the engines'
-// memory, beside a small load of short programs.
+// memory, beside a smaller load of short programs.
 func weekly() *Scenario {
 	scenario := newScenario(nameWeekly, "load 0.7; conversations with long histories and pauses, cache too small for all", 0)
 	scenario.pool.config.CacheTokens = 48_000
--- a/bvfleet/caps.go
+++ b/bvfleet/caps.go
@@ -57,7 +57,7 @@
 	// decisions, so compare the difference of the two counts.
 	RefusedBelow      int
 	GrantedAbove      int
-	WorstWindow       float64 // most requests in a window, relative to the number that the bounds allow
+	WorstWindow       float64 // most requests in a window, relative to the bounds
 	AllocatorRequests int     // queries to allocators
 }
 
--- a/bvfleet/simulation.go
+++ b/bvfleet/simulation.go
@@ -41,7 +41,7 @@
 	lastPartKey    uint64
 	programs       []*program
 	dueTurns       map[bvclock.Time][]*program // by the time at which the next turn is sent
-	callTimeouts   map[bvclock.Time][]*call    // by the time at which the caller times out unless the call has started
+	callTimeouts   map[bvclock.Time][]*call    // by the time of the caller's timeout
 	result         Result
 }
 
--- a/bvmeasure/measure.go
+++ b/bvmeasure/measure.go
@@ -36,7 +36,7 @@
 // A routing daemon has these instead:
 //
 //	answered              requests that got a complete answer
-//	failed                requests that got no complete answer, or a refusal
+//	failed                requests that were refused or got no complete answer
 //	refused               a map: failed requests, by "verdict/code"
 //	first_event           of streams, from the request's arrival to the first event
 //	request_latency       of answered requests, from arrival to the last byte
@@ -76,7 +76,7 @@
 	refused   expvar.Map
 
 	mutex            sync.Mutex
-	refusalsByMember map[string]map[string]int64 // not among the variables, which cover all members together
+	refusalsByMember map[string]map[string]int64 // not in variables, which cover all members together
 }
 
 // New returns counters at zero.
--- a/bvmodel/advance.go
+++ b/bvmodel/advance.go
@@ -7,7 +7,7 @@
 )
 
 // advanceThrough ends all phases that are due up to now, each at its exact time. A
-// phase end that is later by arithmeticError counts as due: Next has rounded it
+// phase end that is later by up to arithmeticError counts as due: Next has rounded it
 // down to now, and otherwise the caller would advance to the same time in an
 // endless loop.
 func (engine *Engine) advanceThrough(now float64) {
