--- a/bvsetting/enum.go
+++ b/bvsetting/enum.go
@@ -2,7 +2,7 @@
 
 //go:generate stringer -type=LogFormat,TraceExporter -linecomment -output=enum_string.go
 
-// LogFormat is the form of a log line.
+// LogFormat is the format of log lines.
 type LogFormat int
 
 // The log formats.
@@ -11,7 +11,7 @@
 	JSON                  // json
 )
 
-// TraceExporter says where spans go.
+// TraceExporter selects where spans are exported.
 type TraceExporter int
 
 // The trace exporters.
--- a/bvsetting/host.go
+++ b/bvsetting/host.go
@@ -8,42 +8,42 @@
 	"balsamvalve.example/bvmechanism"
 )
 
-// Host holds the settings of a routing daemon, which its platform gives it as
-// a whole. Check tells whether they can be used.
+// Host holds the settings of a routing daemon, which its platform passes as one value.
+// Check reports whether they are valid.
 type Host struct {
 	Name           string // of this host
 	Zone           string // availability zone
 	CallerAddress  string // IP:port for callers
-	ReadyAddress   string // IP:port at which the balancer asks whether to send callers
-	PeerAddress    string // IP:port towards the other hosts
+	ReadyAddress   string // IP:port of the balancer's readiness check
+	PeerAddress    string // IP:port for the other hosts
 	MetricsAddress string // IP:port of counters and latencies
 	StoreAddress   string // IP:port of the platform's store
 	Memory         int64  // bytes that the process may use
-	MaxRowBytes    int    // most bytes in one row of the store
-	FirstStart     bool   // the whole system starts for the first time
+	MaxRowBytes    int    // maximum size of a row of the store
+	FirstStart     bool   // the system starts for the first time, on all hosts
 
-	DrainBound  bvclock.Duration // within it, a leaving endpoint must get no more calls
+	DrainBound  bvclock.Duration // until a leaving endpoint must get no more calls
 	StopBound   bvclock.Duration // from SIGTERM until the process is killed
-	ApplyBound  bvclock.Duration // within it, a new desired state must be in force
-	SettleBound bvclock.Duration // after it, what a turn has spent must be settled
+	ApplyBound  bvclock.Duration // until a new desired state must be in force
+	SettleBound bvclock.Duration // until the spending of a turn must be settled
 
-	// Revoke is the time after which a key that was taken away must be refused, by
-	// hosts that can't ask the store too; 0: no bound for those.
+	// RevocationBound is the time after which a revoked key must be refused, also by
+	// hosts that can't reach the store; 0: no bound for those.
 	RevocationBound bvclock.Duration
-	// QuotaWindow is the time over which workspaces' requests are compared with
-	// their usage caps. Over any such time, QuotaOver as a share of the cap and
-	// QuotaSlack requests may be run beyond it.
+	// QuotaWindow is the period over which workspaces' requests are compared with
+	// their usage caps. In any such period, the requests run may exceed the cap by
+	// QuotaOver, a fraction of the cap, plus QuotaSlack requests.
 	QuotaWindow bvclock.Duration
 	QuotaOver   float64
 	QuotaSlack  float64
 
-	Disabled bvmechanism.Set // switched off, for experiments
+	Disabled bvmechanism.Set // mechanisms switched off for experiments
 }
 
-// leastMemory is what the runtime needs with a few calls in flight, in bytes.
-const leastMemory = 48 << 20
+// minMemory is the memory that the runtime needs with a few calls in flight, in bytes.
+const minMemory = 48 << 20
 
-// Check returns an error that names the first field that can't be used.
+// Check returns an error that names the first invalid field.
 func (host *Host) Check() error {
 	addresses := []struct{ name, value string }{
 		{"caller address", host.CallerAddress},
@@ -60,8 +60,8 @@
 	if host.Name == "" {
 		return fmt.Errorf("host name is empty")
 	}
-	if host.Memory < leastMemory {
-		return fmt.Errorf("memory: %d bytes are under the least that works, %d", host.Memory, leastMemory)
+	if host.Memory < minMemory {
+		return fmt.Errorf("memory: %d bytes are under the least that works, %d", host.Memory, minMemory)
 	}
 	if err := host.checkBounds(); err != nil {
 		return err
@@ -69,7 +69,7 @@
 	return host.checkCaps()
 }
 
-// checkCaps checks the bounds of keys and usage caps, which may be missing.
+// checkCaps checks the bounds of keys and usage caps, which may be 0.
 func (host *Host) checkCaps() error {
 	bounds := []struct {
 		name  string
--- a/bvsetting/load.go
+++ b/bvsetting/load.go
@@ -12,16 +12,16 @@
 	"balsamvalve.example/bvkey"
 )
 
-// keysEnvironment holds the keys themselves. It has no flag: the arguments of
-// a process can be read by everybody on the machine.
-const keysEnvironment = environmentPrefix + "KEYS"
+// keysEnvironmentName is the variable that holds the keys. It has no flag: every user
+// of a host can read the arguments of its processes.
+const keysEnvironmentName = environmentPrefix + "KEYS"
 
-// sourceDefault stands for a setting that nobody gave.
+// sourceDefault is the source of a setting that neither a flag nor the environment sets.
 const sourceDefault = "default"
 
-// Problem is one bad setting.
+// Problem is one invalid setting.
 type Problem struct {
-	Setting string // flag or environment variable that gave the value
+	Setting string // flag or environment variable that has the value
 	Value   string // empty for a secret
 	Reason  string
 }
@@ -34,12 +34,12 @@
 	return fmt.Sprintf("%s: %q %s", problem.Setting, problem.Value, problem.Reason)
 }
 
-// Error lists every bad setting.
+// Error lists every invalid setting.
 type Error struct {
 	Problems []Problem
 }
 
-// Error implements error, a line a bad setting.
+// Error implements error, with one line for each invalid setting.
 func (err *Error) Error() string {
 	lines := make([]string, len(err.Problems))
 	for i, problem := range err.Problems {
@@ -51,12 +51,12 @@
 // AddFlags adds a flag for each setting.
 func AddFlags(flags *pflag.FlagSet) {
 	for _, setting := range settings {
-		flags.String(setting.name, setting.initial, setting.help+" ["+setting.environment()+"]")
+		flags.String(setting.name, setting.defaultValue, setting.help+" ["+setting.environmentName()+"]")
 	}
 }
 
-// Choices returns all values of a setting that has few, and nothing for
-// others.
+// Choices returns all values of a setting with a fixed set of values, and nil for
+// other settings.
 func Choices(name string) []string {
 	for _, setting := range settings {
 		if setting.name == name {
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// Load returns the settings that flags and environment give. The error is an
-// *Error that lists every bad setting with its reason.
+// Load reads the settings from flags and environment. The error is an *Error that
+// lists every invalid setting with its reason.
 func Load(flags *pflag.FlagSet, lookupEnv func(string) (string, bool)) (Serve, error) {
 	loader := loader{flags: flags, lookupEnv: lookupEnv}
 	for _, setting := range settings {
@@ -77,7 +77,7 @@
 	loader.checkTLS("caller", loader.serve.callerTLS)
 	loader.checkTLS("peer", loader.serve.peerTLS)
 	loader.checkTLS("platform", loader.serve.platformTLS)
-	loader.checkTLSWhole()
+	loader.checkTLSCombinations()
 	loader.checkAddresses()
 	if loader.serve.hostName == "" {
 		loader.serve.hostName = loader.serve.peerAddress.String()
@@ -96,26 +96,26 @@
 }
 
 func (loader *loader) load(setting setting) {
-	text, source := loader.find(setting)
+	text, source := loader.lookup(setting)
 	if err := setting.apply(&loader.serve, text); err != nil {
-		loader.report(source, text, "%v", err)
+		loader.addProblem(source, text, "%v", err)
 	}
 }
 
-// find returns the text of a setting and what gave it: the flag, else the
-// environment, else the default.
-func (loader *loader) find(setting setting) (text, source string) {
+// lookup returns the text of a setting and its source: the flag if set, else the
+// environment variable, else the default.
+func (loader *loader) lookup(setting setting) (text, source string) {
 	flag := loader.flags.Lookup(setting.name)
 	if flag != nil && flag.Changed {
 		return flag.Value.String(), "--" + setting.name
 	}
-	if text, found := loader.lookupEnv(setting.environment()); found {
-		return text, setting.environment()
+	if text, found := loader.lookupEnv(setting.environmentName()); found {
+		return text, setting.environmentName()
 	}
-	return setting.initial, sourceDefault
+	return setting.defaultValue, sourceDefault
 }
 
-func (loader *loader) report(source, value, reason string, args ...any) {
+func (loader *loader) addProblem(source, value, reason string, args ...any) {
 	loader.problems = append(loader.problems, Problem{
 		Setting: source,
 		Value:   value,
@@ -124,36 +124,36 @@
 }
 
 func (loader *loader) loadKeys() {
-	keys, found := loader.lookupEnv(keysEnvironment)
+	keys, found := loader.lookupEnv(keysEnvironmentName)
 	path := loader.serve.keysFile
 	if found && path != "" {
-		loader.report(keysEnvironment, "", "is set beside --keys-file; give one of the two")
+		loader.addProblem(keysEnvironmentName, "", "is set together with --keys-file; set only one of them")
 		return
 	}
 	var err error
 	source := "--keys-file"
 	switch {
 	case found:
-		source = keysEnvironment
+		source = keysEnvironmentName
 		loader.serve.ring, err = bvkey.Read(strings.NewReader(keys))
 	case path != "":
 		loader.serve.ring, err = bvkey.ReadFile(path)
 	}
 	if err != nil {
-		loader.report(source, path, "can't be used: %v", err)
+		loader.addProblem(source, path, "can't be used: %v", err)
 	}
 }
 
-// checkTLS reads the files once, so that a wrong path or a key of another
-// certificate shows before the first handshake.
+// checkTLS reads the files once, so that a wrong path or a key that doesn't match
+// its certificate is reported at the start and not at the first handshake.
 func (loader *loader) checkTLS(kind string, files TLS) {
 	if (files.certificate == "") != (files.key == "") {
-		loader.report("--"+kind+"-tls-cert", files.certificate, "needs --%s-tls-key beside it, and the other way round", kind)
+		loader.addProblem("--"+kind+"-tls-cert", files.certificate, "needs --%s-tls-key beside it, and the other way round", kind)
 		return
 	}
 	if files.certificate != "" {
 		if _, err := tls.LoadX509KeyPair(files.certificate, files.key); err != nil {
-			loader.report("--"+kind+"-tls-cert", files.certificate, "can't be used: %v", err)
+			loader.addProblem("--"+kind+"-tls-cert", files.certificate, "can't be used: %v", err)
 		}
 	}
 	if files.authority == "" {
@@ -161,29 +161,29 @@
 	}
 	content, err := os.ReadFile(files.authority)
 	if err != nil {
-		loader.report("--"+kind+"-tls-ca", files.authority, "can't be read: %v", err)
+		loader.addProblem("--"+kind+"-tls-ca", files.authority, "can't be read: %v", err)
 		return
 	}
 	if !x509.NewCertPool().AppendCertsFromPEM(content) {
-		loader.report("--"+kind+"-tls-ca", files.authority, "has no certificate in PEM form")
+		loader.addProblem("--"+kind+"-tls-ca", files.authority, "has no certificate in PEM form")
 	}
 }
 
-// checkTLSWhole finds files that would be ignored: what looks like TLS would
-// be plain, or let anybody in.
-func (loader *loader) checkTLSWhole() {
+// checkTLSCombinations rejects combinations in which a file would be ignored: a
+// connection configured for TLS would use plain TCP or accept any client.
+func (loader *loader) checkTLSCombinations() {
 	if caller := loader.serve.callerTLS; caller.authority != "" && caller.certificate == "" {
-		loader.report("--caller-tls-ca", caller.authority, "needs --caller-tls-cert beside it")
+		loader.addProblem("--caller-tls-ca", caller.authority, "needs --caller-tls-cert beside it")
 	}
 	if peer := loader.serve.peerTLS; (peer.certificate == "") != (peer.authority == "") {
-		loader.report("--peer-tls-cert", peer.certificate, "needs --peer-tls-ca beside it, and the other way round")
+		loader.addProblem("--peer-tls-cert", peer.certificate, "needs --peer-tls-ca beside it, and the other way round")
 	}
 	if platform := loader.serve.platformTLS; platform.certificate != "" && platform.authority == "" {
-		loader.report("--platform-tls-cert", platform.certificate, "needs --platform-tls-ca beside it")
+		loader.addProblem("--platform-tls-cert", platform.certificate, "needs --platform-tls-ca beside it")
 	}
 }
 
-// checkAddresses finds two listeners on one address; the second would fail
+// checkAddresses rejects two listeners on one address; otherwise the second would fail
 // only when the daemon starts.
 func (loader *loader) checkAddresses() {
 	seen := make(map[string]string)
@@ -195,39 +195,39 @@
 	for _, listener := range listeners {
 		other, found := seen[listener.address]
 		if found && !strings.HasSuffix(listener.address, ":0") && listener.address != "invalid AddrPort" {
-			loader.report(listener.name, listener.address, "is the address of %s too", other)
+			loader.addProblem(listener.name, listener.address, "is the address of %s too", other)
 		}
 		seen[listener.address] = listener.name
 	}
 }
 
-// Line is a setting in force, for printing.
+// Line is an effective setting, for printing.
 type Line struct {
 	Name   string
 	Value  string
 	Source string // the flag, the environment variable, or default
 }
 
-// EffectiveSettings returns the settings as flags and environment give them, without
+// EffectiveSettings returns the settings from flags, environment and defaults, without
 // secrets.
 func EffectiveSettings(flags *pflag.FlagSet, lookupEnv func(string) (string, bool)) []Line {
 	loader := loader{flags: flags, lookupEnv: lookupEnv}
 	lines := make([]Line, 0, len(settings))
 	for _, setting := range settings {
-		text, source := loader.find(setting)
+		text, source := loader.lookup(setting)
 		lines = append(lines, Line{Name: setting.name, Value: text, Source: source})
 	}
 	return lines
 }
 
-// Warnings returns what is allowed but seldom meant.
+// Warnings returns a warning for each setting that is valid but rarely intended.
 func (serve *Serve) Warnings() []string {
 	var warnings []string
 	if serve.Ring().Len() == 0 {
 		warnings = append(warnings, "no keys: every caller and operator is refused")
 	}
 	if !serve.callerAddress.Addr().IsLoopback() && !serve.callerTLS.Enabled() {
-		warnings = append(warnings, "callers' HTTP is plain and not on loopback: keys can be read on the way")
+		warnings = append(warnings, "callers' HTTP is plain and not on loopback: keys can be read in transit")
 	}
 	if !serve.peerAddress.Addr().IsLoopback() && !serve.peerTLS.Enabled() {
 		warnings = append(warnings, "peers' gRPC is plain and not on loopback: anyone who reaches it can act as a host")
--- a/bvsetting/load_test.go
+++ b/bvsetting/load_test.go
@@ -23,7 +23,7 @@
 	})
 }
 
-func problems(t *testing.T, err error) string {
+func problemText(t *testing.T, err error) string {
 	t.Helper()
 	var bad *Error
 	require.ErrorAs(t, err, &bad)
@@ -48,11 +48,11 @@
 	require.Equal(t, 200, serve.WriteBudget())
 }
 
-// Guards against a check that names the first bad setting only.
+// Guards against a check that reports only the first invalid setting.
 func TestEveryBadSettingIsNamedWithItsReason(t *testing.T) {
 	environment := map[string]string{"BALSAMVALVE_POLL_INTERVAL": "9s"}
 	_, err := load(t, environment, "--caller-address", "localhost:80", "--body-limit", "16MB")
-	text := problems(t, err)
+	text := problemText(t, err)
 	require.Contains(t, text, `--caller-address: "localhost:80" is not an IP number with a port`)
 	require.Contains(t, text, `BALSAMVALVE_POLL_INTERVAL: "9s" is not between 10ms and 2s`)
 	require.Contains(t, text, `--body-limit: "16MB" is not a size in bytes`)
@@ -74,7 +74,7 @@
 	path := filepath.Join(t.TempDir(), "keys")
 	require.NoError(t, os.WriteFile(path, []byte("piran boss secret-secret\n"), 0o600))
 	_, err := load(t, nil, "--keys-file", path)
-	text := problems(t, err)
+	text := problemText(t, err)
 	require.Contains(t, text, "--keys-file")
 	require.Contains(t, text, "line 1")
 	require.NotContains(t, text, "secret-secret")
@@ -82,22 +82,22 @@
 
 func TestCertificateWithoutItsKeyIsABadSetting(t *testing.T) {
 	_, err := load(t, nil, "--peer-tls-cert", "cert.pem")
-	require.Contains(t, problems(t, err), "--peer-tls-cert")
+	require.Contains(t, problemText(t, err), "--peer-tls-cert")
 }
 
 func TestTwoListenersOnOneAddressAreABadSetting(t *testing.T) {
 	_, err := load(t, nil, "--peer-address", "127.0.0.1:8080")
-	require.Contains(t, problems(t, err), "is the address of --caller-address too")
+	require.Contains(t, problemText(t, err), "is the address of --caller-address too")
 }
 
-func TestPlainListenersBeyondLoopbackAreWarnedOf(t *testing.T) {
+func TestPlainListenersBeyondLoopbackGiveAWarning(t *testing.T) {
 	serve, err := load(t, nil, "--peer-address", "10.0.0.7:8081")
 	require.NoError(t, err)
 	require.Contains(t, strings.Join(serve.Warnings(), "\n"), "gRPC is plain")
 }
 
-// Guards against TLS between hosts that lets everybody in.
+// Guards against TLS between hosts that accepts any client.
 func TestPeerCertificateWithoutAuthorityIsNamed(t *testing.T) {
 	_, err := load(t, nil, "--peer-tls-cert", "c.pem", "--peer-tls-key", "k.pem")
-	require.Contains(t, problems(t, err), "needs --peer-tls-ca beside it")
+	require.Contains(t, problemText(t, err), "needs --peer-tls-ca beside it")
 }
--- a/bvsetting/parse.go
+++ b/bvsetting/parse.go
@@ -13,10 +13,10 @@
 	"balsamvalve.example/bvclock"
 )
 
-var plainName = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._:\[\]-]*$`)
+var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._:\[\]-]*$`)
 
 func parseName(text string) (string, error) {
-	if text != "" && !plainName.MatchString(text) {
+	if text != "" && !namePattern.MatchString(text) {
 		return "", fmt.Errorf("may have letters, digits, dots, colons, underscores and hyphens only")
 	}
 	return text, nil
@@ -34,40 +34,40 @@
 	return address, nil
 }
 
-func parseDuration(least, most bvclock.Duration) func(string) (bvclock.Duration, error) {
+func parseDuration(minimum, maximum bvclock.Duration) func(string) (bvclock.Duration, error) {
 	return func(text string) (bvclock.Duration, error) {
 		std, err := time.ParseDuration(text)
 		if err != nil {
 			return 0, fmt.Errorf("is not a duration with a unit, such as 500ms, 15s or 2m")
 		}
 		duration := bvclock.FromStd(std)
-		if duration < least || duration > most {
-			return 0, fmt.Errorf("is not between %v and %v", least.Std(), most.Std())
+		if duration < minimum || duration > maximum {
+			return 0, fmt.Errorf("is not between %v and %v", minimum.Std(), maximum.Std())
 		}
 		return duration, nil
 	}
 }
 
-func parseCount(least, most int) func(string) (int, error) {
+func parseCount(minimum, maximum int) func(string) (int, error) {
 	return func(text string) (int, error) {
 		count, err := strconv.Atoi(text)
 		if err != nil {
 			return 0, fmt.Errorf("is not a whole number")
 		}
-		if count < least || count > most {
-			return 0, fmt.Errorf("is not between %d and %d", least, most)
+		if count < minimum || count > maximum {
+			return 0, fmt.Errorf("is not between %d and %d", minimum, maximum)
 		}
 		return count, nil
 	}
 }
 
-// byteUnits are ordered, so that no unit hides one that ends with it.
+// byteUnits is ordered so that a suffix is tried only after the longer ones that end with it.
 var byteUnits = []struct {
 	suffix string
 	factor int64
 }{{"KiB", 1 << 10}, {"MiB", 1 << 20}, {"GiB", 1 << 30}, {"B", 1}, {"", 1}}
 
-func parseBytes(least, most int64) func(string) (int64, error) {
+func parseBytes(minimum, maximum int64) func(string) (int64, error) {
 	return func(text string) (int64, error) {
 		for _, unit := range byteUnits {
 			digits, found := strings.CutSuffix(text, unit.suffix)
@@ -78,8 +78,8 @@
 			if err != nil {
 				break
 			}
-			if count < (least+unit.factor-1)/unit.factor || count > most/unit.factor {
-				return 0, fmt.Errorf("is not between %d and %d bytes", least, most)
+			if count < (minimum+unit.factor-1)/unit.factor || count > maximum/unit.factor {
+				return 0, fmt.Errorf("is not between %d and %d bytes", minimum, maximum)
 			}
 			return count * unit.factor, nil
 		}
--- a/bvsetting/serve.go
+++ b/bvsetting/serve.go
@@ -1,10 +1,10 @@
-// Package bvsetting is the one place for the settings of the daemon: names,
-// defaults, units, help, parsing and validation.
+// Package bvsetting defines the settings of the daemon: names, defaults, units, help,
+// parsing and validation.
 //
-// Each setting is a flag (--peer-address) with an environment twin
-// (BALSAMVALVE_PEER_ADDRESS); the flag wins. Keys never stand in a flag,
-// because every process of a machine can read another one's arguments: they
-// come from the file that --keys-file names or from BALSAMVALVE_KEYS.
+// Each setting is a flag (--peer-address) with a corresponding environment variable
+// (BALSAMVALVE_PEER_ADDRESS); the flag takes precedence. Keys are never passed in a
+// flag, because every process on a host can read the arguments of the others: they
+// are read from the file that --keys-file names or from BALSAMVALVE_KEYS.
 //
 // # Usage
 //
@@ -26,8 +26,8 @@
 	"balsamvalve.example/bvkey"
 )
 
-// Serve holds the settings of a daemon. It comes from Load; the zero value
-// has no addresses to listen on.
+// Serve holds the settings of a daemon. Load creates it; the zero value has no
+// addresses to listen on.
 type Serve struct {
 	hostName        string
 	zone            string
@@ -59,23 +59,23 @@
 // Zone returns the availability zone of this host.
 func (serve *Serve) Zone() string { return serve.zone }
 
-// CallerAddress returns where callers' HTTP is served.
+// CallerAddress returns the listening address of the callers' HTTP.
 func (serve *Serve) CallerAddress() netip.AddrPort { return serve.callerAddress }
 
-// PeerAddress returns where the other hosts' gRPC is served.
+// PeerAddress returns the listening address of the gRPC between hosts.
 func (serve *Serve) PeerAddress() netip.AddrPort { return serve.peerAddress }
 
-// OperatorAddress returns where the operators' HTTP is served.
+// OperatorAddress returns the listening address of the operators' HTTP.
 func (serve *Serve) OperatorAddress() netip.AddrPort { return serve.operatorAddress }
 
-// PlatformAddress returns where the platform's HTTP is reached.
+// PlatformAddress returns the address of the platform's HTTP.
 func (serve *Serve) PlatformAddress() netip.AddrPort { return serve.platformAddress }
 
-// KeysFile returns the path of the keys file; empty if the keys came from the
+// KeysFile returns the path of the keys file; empty if the keys are read from the
 // environment.
 func (serve *Serve) KeysFile() string { return serve.keysFile }
 
-// Ring returns the keys as they were read by Load. It is never nil.
+// Ring returns the keys that Load read. It is never nil.
 func (serve *Serve) Ring() *bvkey.Ring {
 	if serve.ring == nil {
 		return &bvkey.Ring{}
@@ -86,21 +86,21 @@
 // LogLevel returns the least severe level that is logged.
 func (serve *Serve) LogLevel() logrus.Level { return serve.logLevel }
 
-// LogFormat returns the form of a log line.
+// LogFormat returns the format of log lines.
 func (serve *Serve) LogFormat() LogFormat { return serve.logFormat }
 
-// TraceExporter returns where spans go.
+// TraceExporter returns the exporter of spans.
 func (serve *Serve) TraceExporter() TraceExporter { return serve.traceExporter }
 
-// TraceAddress returns where the OTLP collector's HTTP is reached.
+// TraceAddress returns the address of the OTLP collector's HTTP.
 func (serve *Serve) TraceAddress() netip.AddrPort { return serve.traceAddress }
 
-// WriteBudget returns the writes a second to the platform that all hosts
-// together may use.
+// WriteBudget returns the maximum number of writes per second to the platform, for all
+// hosts together.
 func (serve *Serve) WriteBudget() int { return serve.writeBudget }
 
-// PollInterval returns the time between two looks at the platform's lists and
-// at the table's version.
+// PollInterval returns the interval at which the platform's lists and the table's
+// version are polled.
 func (serve *Serve) PollInterval() bvclock.Duration { return serve.pollInterval }
 
 // SilenceLimit returns how long a stream may make no progress before its
@@ -113,16 +113,16 @@
 // BodyLimit returns the largest request body, in bytes.
 func (serve *Serve) BodyLimit() int64 { return serve.bodyLimit }
 
-// QueueLimit returns the number of requests of one member that may wait.
+// QueueLimit returns the maximum number of queued requests of one member.
 func (serve *Serve) QueueLimit() int { return serve.queueLimit }
 
-// CallerTLS returns the files for TLS towards callers and operators.
+// CallerTLS returns the TLS files for connections from callers and operators.
 func (serve *Serve) CallerTLS() TLS { return serve.callerTLS }
 
-// PeerTLS returns the files for TLS between hosts.
+// PeerTLS returns the TLS files for connections between hosts.
 func (serve *Serve) PeerTLS() TLS { return serve.peerTLS }
 
-// PlatformTLS returns the files for TLS towards the platform.
+// PlatformTLS returns the TLS files for connections to the platform.
 func (serve *Serve) PlatformTLS() TLS { return serve.platformTLS }
 
 // TLS names the PEM files of one kind of connection. The zero value means
@@ -134,14 +134,13 @@
 	authority   string
 }
 
-// Certificate returns the path of the own certificate.
+// Certificate returns the path of this host's certificate.
 func (tls TLS) Certificate() string { return tls.certificate }
 
-// Key returns the path of the own private key.
+// Key returns the path of this host's private key.
 func (tls TLS) Key() string { return tls.key }
 
-// Authority returns the path of the certificates that the other side must be
-// signed by.
+// Authority returns the path of the CA certificates that verify the other side.
 func (tls TLS) Authority() string { return tls.authority }
 
 // Enabled reports whether any file is named.
