--- a/bvexperiment/records.go
+++ b/bvexperiment/records.go
@@ -37,7 +37,7 @@
 	crashLost       int // calls in flight at a crash
 	cutOff          int // calls in flight when a leaving endpoint stopped
 	sentToLeaving   int
-	poisonCrashes   int // crashes
+	poisonCrashes   int
 	samples         []sample
 	submissions     []submission
 	workByWindow    [][]float64 // cumulative work by member at each window's end
