--- a/bvtls/credentials.go
+++ b/bvtls/credentials.go
@@ -8,14 +8,14 @@
 	"google.golang.org/grpc/credentials"
 )
 
-// Credentials returns gRPC credentials for both sides: each shows its
-// certificate, and the authority must have signed the other's.
+// Credentials returns gRPC credentials for clients and servers: each side presents
+// its certificate, which must be signed by the other's authority.
 func (source *Source) Credentials() credentials.TransportCredentials {
 	return &transport{source: source}
 }
 
-// transport builds the credentials anew for each handshake, since those of
-// gRPC keep the authorities that they were made with.
+// transport creates new credentials for each handshake, because those of gRPC retain
+// the authorities that they were created with.
 type transport struct {
 	source *Source
 }
@@ -26,18 +26,18 @@
 	if err != nil {
 		host = authority
 	}
-	return credentials.NewTLS(transport.source.client(host)).ClientHandshake(ctx, authority, connection)
+	return credentials.NewTLS(transport.source.clientConfig(host)).ClientHandshake(ctx, authority, connection)
 }
 
 // ServerHandshake implements credentials.TransportCredentials.
 func (transport *transport) ServerHandshake(connection net.Conn) (net.Conn, credentials.AuthInfo, error) {
-	config, err := transport.source.server(SignedClients)
+	config, err := transport.source.handshakeConfig(SignedClients)
 	if err != nil {
 		return nil, nil, err
 	}
 	if config.ClientCAs == nil {
-		// Anybody who reaches the port could act as a host.
-		return nil, nil, fmt.Errorf("tls: other hosts can't be told without an authority")
+		// Any client that reaches the port could act as a host.
+		return nil, nil, fmt.Errorf("tls: other hosts can't be verified without an authority")
 	}
 	return credentials.NewTLS(config).ServerHandshake(connection)
 }
@@ -52,8 +52,8 @@
 	return transport.source.Credentials()
 }
 
-// OverrideServerName implements credentials.TransportCredentials. The name is
-// always that of the address.
+// OverrideServerName implements credentials.TransportCredentials. It does nothing:
+// the server name is always taken from the address.
 func (transport *transport) OverrideServerName(string) error {
 	return nil
 }
--- a/bvtls/reload.go
+++ b/bvtls/reload.go
@@ -10,80 +10,80 @@
 	"github.com/sirupsen/logrus"
 )
 
-// stamp tells one state of a file from another.
-type stamp struct {
+// fileStamp identifies a version of a file by its modification time and size.
+type fileStamp struct {
 	modified time.Time
 	size     int64
 }
 
-// reloaded is content that is read again when one of its files has changed.
+// reloadable is content that is read again when one of its files has changed.
 // Without paths it is empty.
-type reloaded[V any] struct {
+type reloadable[V any] struct {
 	paths  []string
 	read   func(paths []string) (V, error)
-	stamps []stamp // at the last reading, good or not
-	value  V       // of the last good reading
+	stamps []fileStamp // at the last read, successful or not
+	value  V           // of the last successful read
 }
 
-// load reads the files. They are looked at before they are read: one that
-// changes in between then looks changed the next time, and is read again.
-func (reloaded *reloaded[V]) load() error {
-	stamps, err := stampsOf(reloaded.paths)
+// load reads the files. It reads the stamps before the content, so that a file that
+// changes in between counts as changed the next time and is read again.
+func (reloadable *reloadable[V]) load() error {
+	stamps, err := readStamps(reloadable.paths)
 	if err != nil {
 		return err
 	}
-	reloaded.stamps = stamps
-	value, err := reloaded.read(reloaded.paths)
+	reloadable.stamps = stamps
+	value, err := reloadable.read(reloadable.paths)
 	if err != nil {
 		return err
 	}
-	reloaded.value = value
+	reloadable.value = value
 	return nil
 }
 
-// current returns the content, read again if a file has changed. Files that
-// can't be used, such as a certificate whose new key is not written yet, leave
-// the last good content in force: connections would fail without need.
-func (reloaded *reloaded[V]) current(log logrus.FieldLogger) V {
-	if len(reloaded.paths) == 0 || !reloaded.changed() {
-		return reloaded.value
+// current returns the content, read again if a file has changed. If the new files
+// can't be used, such as a certificate whose new key is not written yet, the last
+// valid content stays in force, so that connections don't fail needlessly.
+func (reloadable *reloadable[V]) current(log logrus.FieldLogger) V {
+	if len(reloadable.paths) == 0 || !reloadable.hasChanged() {
+		return reloadable.value
 	}
-	if err := reloaded.load(); err != nil {
+	if err := reloadable.load(); err != nil {
 		log.WithError(err).Error("changed certificate file can't be used, the last good content stays in force")
-		return reloaded.value
+		return reloadable.value
 	}
-	log.WithField("file", reloaded.paths[0]).Info("changed certificate file was read")
-	return reloaded.value
+	log.WithField("file", reloadable.paths[0]).Info("changed certificate file was read")
+	return reloadable.value
 }
 
-// changed reports whether the files differ from those last read. Files that
-// can't be looked at count as unchanged: they are being replaced.
-func (reloaded *reloaded[V]) changed() bool {
-	stamps, err := stampsOf(reloaded.paths)
+// hasChanged reports whether the files differ from those last read. If a stamp can't
+// be read, the files count as unchanged, because they are probably being replaced.
+func (reloadable *reloadable[V]) hasChanged() bool {
+	stamps, err := readStamps(reloadable.paths)
 	if err != nil {
 		return false
 	}
 	for i, stamp := range stamps {
-		if !stamp.modified.Equal(reloaded.stamps[i].modified) || stamp.size != reloaded.stamps[i].size {
+		if !stamp.modified.Equal(reloadable.stamps[i].modified) || stamp.size != reloadable.stamps[i].size {
 			return true
 		}
 	}
 	return false
 }
 
-func stampsOf(paths []string) ([]stamp, error) {
-	stamps := make([]stamp, len(paths))
+func readStamps(paths []string) ([]fileStamp, error) {
+	stamps := make([]fileStamp, len(paths))
 	for i, path := range paths {
 		info, err := os.Stat(path)
 		if err != nil {
 			return nil, fmt.Errorf("tls: %w", err)
 		}
-		stamps[i] = stamp{modified: info.ModTime(), size: info.Size()}
+		stamps[i] = fileStamp{modified: info.ModTime(), size: info.Size()}
 	}
 	return stamps, nil
 }
 
-func readPair(paths []string) (*tls.Certificate, error) {
+func readKeyPair(paths []string) (*tls.Certificate, error) {
 	pair, err := tls.LoadX509KeyPair(paths[0], paths[1])
 	if err != nil {
 		return nil, fmt.Errorf("tls: %s: %w", paths[0], err)
@@ -91,12 +91,12 @@
 	return &pair, nil
 }
 
-// authorities are the certificates that the other side's must be signed by.
-type authorities struct {
+// authorityPool holds the CA certificates that verify the other side's certificate.
+type authorityPool struct {
 	pool *x509.CertPool
 }
 
-func readAuthorities(paths []string) (*authorities, error) {
+func readAuthorityPool(paths []string) (*authorityPool, error) {
 	content, err := os.ReadFile(paths[0])
 	if err != nil {
 		return nil, fmt.Errorf("tls: %w", err)
@@ -105,5 +105,5 @@
 	if !pool.AppendCertsFromPEM(content) {
 		return nil, fmt.Errorf("tls: %s has no certificate in PEM form", paths[0])
 	}
-	return &authorities{pool: pool}, nil
+	return &authorityPool{pool: pool}, nil
 }
--- a/bvtls/tls.go
+++ b/bvtls/tls.go
@@ -1,9 +1,9 @@
-// Package bvtls gives TLS to the daemon's connections and reads renewed
+// Package bvtls provides TLS for the daemon's connections and reads renewed
 // certificates without a restart.
 //
 // A Source names the PEM files of one kind of connection. At each handshake it
-// looks whether a file has changed and reads it again. When the new content
-// can't be used, it logs that and goes on with what it read last.
+// checks whether a file has changed and, if so, reads it again. If the new content
+// can't be used, it logs an error and continues with the last valid content.
 //
 // # Usage
 //
@@ -25,47 +25,47 @@
 	"balsamvalve.example/bvclock"
 )
 
-// dialTimeout bounds connecting and the handshake together. http.Transport
-// goes on dialing after the request has given up.
+// dialTimeout bounds connecting and the handshake together. http.Transport continues
+// dialing after the request has been canceled.
 const dialTimeout = 2 * bvclock.Second
 
 // Files are paths of PEM files.
 type Files struct {
-	Certificate string // shown to the other side; may be empty on a client
+	Certificate string // presented to the other side; may be empty on a client
 	Key         string // of the certificate
-	Authority   string // signs the other side's certificates; empty: system's on a client, nobody's on a server
+	Authority   string // signs the other side's certificates; empty: the system's on a client, none on a server
 }
 
-// ClientCheck says which clients a server lets in.
+// ClientCheck selects which clients a server accepts.
 type ClientCheck int
 
 // The checks of clients.
 const (
-	AnyClient     ClientCheck = iota // a certificate is not asked for
+	AnyClient     ClientCheck = iota // no certificate is requested
 	SignedClients                    // the authority, if there is one, must have signed the client's certificate
 )
 
-// Source gives TLS configurations with the newest usable content of the files.
+// Source provides TLS configurations with the newest valid content of the files.
 // It is safe for concurrent use.
 type Source struct {
 	files       Files
 	log         logrus.FieldLogger
 	mutex       sync.Mutex
-	certificate reloaded[*tls.Certificate]
-	authority   reloaded[*authorities]
+	certificate reloadable[*tls.Certificate]
+	authority   reloadable[*authorityPool]
 }
 
-// New reads the files once; the error names the one that can't be used.
+// New reads the files once; the error names the invalid file.
 func New(files Files, log logrus.FieldLogger) (*Source, error) {
 	source := &Source{files: files, log: log}
 	if files.Certificate != "" {
-		source.certificate = reloaded[*tls.Certificate]{paths: []string{files.Certificate, files.Key}, read: readPair}
+		source.certificate = reloadable[*tls.Certificate]{paths: []string{files.Certificate, files.Key}, read: readKeyPair}
 		if err := source.certificate.load(); err != nil {
 			return nil, err
 		}
 	}
 	if files.Authority != "" {
-		source.authority = reloaded[*authorities]{paths: []string{files.Authority}, read: readAuthorities}
+		source.authority = reloadable[*authorityPool]{paths: []string{files.Authority}, read: readAuthorityPool}
 		if err := source.authority.load(); err != nil {
 			return nil, err
 		}
@@ -73,26 +73,25 @@
 	return source, nil
 }
 
-// current returns the newest usable content of the files; each may be nil.
-func (source *Source) current() (*tls.Certificate, *authorities) {
+// current returns the newest valid content of the files; each may be nil.
+func (source *Source) current() (*tls.Certificate, *authorityPool) {
 	source.mutex.Lock()
 	defer source.mutex.Unlock()
 	return source.certificate.current(source.log), source.authority.current(source.log)
 }
 
-// Server returns the configuration of a server of HTTP. It needs a
-// certificate.
+// ServerConfig returns the configuration of an HTTP server. It needs a certificate.
 func (source *Source) ServerConfig(check ClientCheck) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			return source.server(check)
+			return source.handshakeConfig(check)
 		},
 	}
 }
 
-// server returns the configuration of one handshake.
-func (source *Source) server(check ClientCheck) (*tls.Config, error) {
+// handshakeConfig returns the server's configuration of one handshake.
+func (source *Source) handshakeConfig(check ClientCheck) (*tls.Config, error) {
 	certificate, authority := source.current()
 	if certificate == nil {
 		return nil, fmt.Errorf("tls: a server needs a certificate")
@@ -105,16 +104,16 @@
 	if check == SignedClients && authority != nil {
 		config.ClientAuth = tls.RequireAndVerifyClientCert
 		config.ClientCAs = authority.pool
-		// A resumed session would let a client in whose authority has been
-		// taken off the file since.
+		// A resumed session would admit a client whose authority has since been
+		// removed from the file.
 		config.SessionTicketsDisabled = true
 	}
 	return config, nil
 }
 
-// client returns the configuration of one handshake; name is the IP number or
-// name that the server's certificate must bear.
-func (source *Source) client(name string) *tls.Config {
+// clientConfig returns the client's configuration of one handshake; name is the IP
+// address or DNS name that the server's certificate must be valid for.
+func (source *Source) clientConfig(name string) *tls.Config {
 	certificate, authority := source.current()
 	config := &tls.Config{MinVersion: tls.VersionTLS12, ServerName: name}
 	if certificate != nil {
@@ -132,6 +131,6 @@
 	if err != nil {
 		return nil, fmt.Errorf("tls: %w", err)
 	}
-	dialer := tls.Dialer{NetDialer: &net.Dialer{Timeout: dialTimeout.Std()}, Config: source.client(host)}
+	dialer := tls.Dialer{NetDialer: &net.Dialer{Timeout: dialTimeout.Std()}, Config: source.clientConfig(host)}
 	return dialer.DialContext(ctx, network, address)
 }
--- a/bvtls/tls_test.go
+++ b/bvtls/tls_test.go
@@ -70,14 +70,14 @@
 	return certificate.SerialNumber
 }
 
-var writes int
+var writeCount int
 
-// writePEM writes a file with a modification time of its own: two writes of a
-// test can fall into one tick of the file system's clock.
+// writePEM writes a file with a unique modification time: two writes of a test can fall
+// into one tick of the file system's clock.
 func writePEM(t *testing.T, path, kind string, content []byte) {
 	require.NoError(t, os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: content}), 0o600))
-	writes++
-	at := time.Unix(int64(1_000_000+writes), 0)
+	writeCount++
+	at := time.Unix(int64(1_000_000+writeCount), 0)
 	require.NoError(t, os.Chtimes(path, at, at))
 }
 
@@ -98,7 +98,7 @@
 	return source
 }
 
-// serialOf returns the serial number that a server shows.
+// serialOf returns the serial number of the certificate that a server presents.
 func serialOf(t *testing.T, client *Source, address string) *big.Int {
 	connection, err := client.Dial(t.Context(), "tcp", address)
 	require.NoError(t, err)
@@ -124,7 +124,7 @@
 	require.Equal(t, second, serialOf(t, source, address))
 }
 
-// Guards against a certificate without its key.
+// Guards against using a new certificate before its key has been written.
 func TestHalfWrittenPairLeavesTheLastGoodOneInForce(t *testing.T) {
 	files, issuer := newFiles(t), newIssuer(t)
 	first := issuer.write(files)
@@ -143,27 +143,27 @@
 	require.ErrorContains(t, err, "certificate.pem")
 }
 
-// handshake lets two hosts shake hands and returns what each said.
+// handshake performs a handshake between two hosts and returns the error of each side.
 func handshake(t *testing.T, client, server credentials.TransportCredentials) (clientErr, serverErr error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = listener.Close() }()
-	served := make(chan error, 1)
+	serverResult := make(chan error, 1)
 	go func() {
 		connection, err := listener.Accept()
 		if err == nil {
 			_, _, err = server.ServerHandshake(connection)
 		}
-		served <- err
+		serverResult <- err
 	}()
 	connection, err := net.Dial("tcp", listener.Addr().String())
 	require.NoError(t, err)
 	defer func() { _ = connection.Close() }()
 	_, _, clientErr = client.ClientHandshake(t.Context(), listener.Addr().String(), connection)
-	return clientErr, <-served
+	return clientErr, <-serverResult
 }
 
-func TestHostsOfOneAuthorityTakeEachOther(t *testing.T) {
+func TestHostsOfOneAuthorityAcceptEachOther(t *testing.T) {
 	files := newFiles(t)
 	newIssuer(t).write(files)
 	source := newSource(t, files)
@@ -172,8 +172,8 @@
 	require.NoError(t, serverErr)
 }
 
-// Guards against a stranger's certificate between hosts.
-func TestHostOfAnotherAuthorityIsTurnedAway(t *testing.T) {
+// Guards against accepting a host's certificate from another authority.
+func TestHostOfAnotherAuthorityIsRejected(t *testing.T) {
 	files, strangers := newFiles(t), newFiles(t)
 	issuer := newIssuer(t)
 	issuer.write(files)
@@ -183,7 +183,7 @@
 	require.Error(t, serverErr)
 }
 
-// Guards against an authority that is only replaced by a restart.
+// Guards against an authority that takes effect only after a restart.
 func TestReplacedAuthorityCountsForTheNextHandshake(t *testing.T) {
 	files, others := newFiles(t), newFiles(t)
 	issuer, otherIssuer := newIssuer(t), newIssuer(t)
