--- a/bvendpoint/client.go
+++ b/bvendpoint/client.go
@@ -51,7 +51,7 @@
 	MaxBodyBytes    int64            // bytes of a service's answer
 
 	once   sync.Once
-	shared *http.Transport // keeps connections
+	shared *http.Transport // reuses connections
 	fresh  *http.Transport // dials for each request
 	budget retryBudget
 }
--- a/bvendpoint/template_test.go
+++ b/bvendpoint/template_test.go
@@ -93,7 +93,7 @@
 	require.True(t, fits)
 }
 
-// Guards against truncating a line that is longer than the reader's buffer.
+// Guards against the truncation of a line that is longer than the reader's buffer.
 func TestLongLineIsReadWhole(t *testing.T) {
 	long := strings.Repeat("word ", 10_000)
 	body := fmt.Sprintf("data: {\"choices\":[{\"delta\":{\"content\":%q}}]}\n\ndata: [DONE]\n\n", long)
