--- a/bvcommand/check.go
+++ b/bvcommand/check.go
@@ -14,7 +14,7 @@
 		Use:   "check",
 		Short: "Validate the daemon's settings",
 		Long: `Validate the daemon's settings, as "serve" would read them from the same flags
-and environment. Each bad setting is named with its reason; the exit code is
+and environment. Prints each invalid setting with the reason; the exit code is
 then 2.`,
 		Example: `  balsamvalve check --peer-address 10.0.0.7:8081 --keys-file keys
   BALSAMVALVE_POLL_INTERVAL=500ms balsamvalve check`,
@@ -37,7 +37,7 @@
 	return err
 }
 
-// noArguments refuses arguments as a mistake of use.
+// noArguments makes arguments a usage error.
 func noArguments(command *cobra.Command, args []string) error {
 	if err := cobra.NoArgs(command, args); err != nil {
 		return usageError{err}
--- a/bvcommand/command.go
+++ b/bvcommand/command.go
@@ -1,5 +1,5 @@
-// Package bvcommand is the command line: one file per command, each of which
-// reads its settings and hands over to the package that does the work.
+// Package bvcommand implements the command line: one file per command, each of
+// which reads its settings and calls the package that does the work.
 //
 // # Usage
 //
@@ -22,7 +22,7 @@
 	exitUsage   = 2
 )
 
-// usageError marks an error that the user can mend by other flags.
+// usageError marks an error that the user can correct with other flags.
 type usageError struct{ cause error }
 
 func (err usageError) Error() string { return err.cause.Error() }
--- a/bvcommand/completion.go
+++ b/bvcommand/completion.go
@@ -10,8 +10,8 @@
 	"balsamvalve.example/bvtable"
 )
 
-// addSettings adds the daemon's settings as flags, with their values for the
-// shell to complete.
+// addSettings adds the daemon's settings as flags, with shell completion of their
+// values.
 func addSettings(command *cobra.Command) {
 	bvsetting.AddFlags(command.Flags())
 	command.Flags().VisitAll(func(flag *pflag.Flag) {
@@ -23,7 +23,7 @@
 	})
 }
 
-// completeCells completes the columns after the name of a row.
+// completeCells completes the names of columns after the name of a row.
 func completeCells(_ *cobra.Command, args []string, _ string) ([]string, cobra.ShellCompDirective) {
 	if len(args) == 0 {
 		return nil, cobra.ShellCompDirectiveNoFileComp
--- a/bvcommand/completion_test.go
+++ b/bvcommand/completion_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// eachCommand visits all commands but those that cobra adds.
+// eachCommand visits all commands except those that cobra adds.
 func eachCommand(command *cobra.Command, visit func(*cobra.Command)) {
 	visit(command)
 	for _, child := range command.Commands() {
@@ -33,7 +33,7 @@
 			}
 			require.NoError(t, named.ParseFlags(rest), line)
 			if strings.Contains(arguments, `"`) {
-				continue // the shell would take the quotes away
+				continue // a shell would remove the quotes
 			}
 			require.NoError(t, named.ValidateArgs(named.Flags().Args()), line)
 		}
--- a/bvcommand/demo.go
+++ b/bvcommand/demo.go
@@ -12,7 +12,7 @@
 	var seed uint64
 	command := &cobra.Command{
 		Use:   "demo",
-		Short: "Run the whole system in one process and check its promises",
+		Short: "Run the whole system in one process and check its guarantees",
 		Example: `  balsamvalve demo
   balsamvalve demo --seed 7`,
 		Args: noArguments,
@@ -27,11 +27,11 @@
 				return err
 			}
 			if !routed.AllPromisesHold() || !report.Kept() || report.Finished != report.Programs {
-				return errors.New("demo: a promise was broken")
+				return errors.New("demo: a guarantee was broken")
 			}
 			return nil
 		},
 	}
-	command.Flags().Uint64Var(&seed, "seed", 1, "of the programs")
+	command.Flags().Uint64Var(&seed, "seed", 1, "seed of the random programs")
 	return command
 }
--- a/bvcommand/experiment.go
+++ b/bvcommand/experiment.go
@@ -9,7 +9,7 @@
 	"github.com/spf13/cobra"
 )
 
-const garbagePercent = 400
+const gcPercent = 400
 
 type experimentOptions struct {
 	bvexperiment.Options
@@ -22,7 +22,7 @@
 	var options experimentOptions
 	command := &cobra.Command{
 		Use:   "experiment",
-		Short: "Measure the decisions against baselines, in virtual time",
+		Short: "Compare the decision logic with baselines, in virtual time",
 		Example: `  balsamvalve experiment --list
   balsamvalve experiment --seeds 5 --json
   balsamvalve experiment --plot latency.svg`,
@@ -32,10 +32,10 @@
 		},
 	}
 	flags := command.Flags()
-	flags.IntVar(&options.Seeds, "seeds", bvexperiment.DefaultSeeds, "how many seeds to run, at least 5 for a published figure")
+	flags.IntVar(&options.Seeds, "seeds", bvexperiment.DefaultSeeds, "number of seeds to run, at least 5 for a published figure")
 	flags.StringVar(&options.Scenario, "scenario", "", "run this scenario only")
 	flags.BoolVar(&options.json, "json", false, "print all figures as JSON")
-	flags.StringVar(&options.plot, "plot", "", "draw latency over load into this .svg or .png file")
+	flags.StringVar(&options.plot, "plot", "", "write a plot of latency over load to this .svg or .png file")
 	flags.BoolVar(&options.list, "list", false, "list the scenarios")
 	return command
 }
@@ -44,9 +44,9 @@
 	if options.list {
 		return listScenarios(to)
 	}
-	// The runs make many small objects and keep little, so that the heap stays
-	// small although garbage is collected less often.
-	debug.SetGCPercent(garbagePercent)
+	// The runs allocate many small objects but retain few, so the heap stays small
+	// although garbage is collected less often.
+	debug.SetGCPercent(gcPercent)
 	report, err := bvexperiment.Run(options.Options)
 	if err != nil {
 		return usageError{err}
--- a/bvcommand/explain.go
+++ b/bvcommand/explain.go
@@ -14,13 +14,13 @@
 	var options bvexplain.Options
 	command := &cobra.Command{
 		Use:   "explain [FILE...]",
-		Short: "Tell from daemons' logs how requests and programs ended, and where their time went",
+		Short: "Report from daemons' logs how requests and programs ended, and where their time went",
 		Long: `Read the structured logs of routing daemons, or standard input, and print how
 requests and programs ended and where their time went: by route, host, second and
-cause, with the daemons' starts, stops and outages. Lines may have a collector's
-text before the JSON object: its last word is the host's name, and its first the
-time in seconds, if it is a number. Lines that can't be read are counted and
-skipped.`,
+cause, with the daemons' starts, stops and outages. Lines may have a log
+collector's text before the JSON object: its last word is the name of the host,
+and its first word, if it is a number, the time in seconds. Unreadable lines are
+counted and skipped.`,
 		Example: `  balsamvalve explain logs/*.log
   balsamvalve explain --from 1764730000 --to 1764730060 all.log
   balsamvalve explain --request bd3eff22eb8c4548 all.log`,
@@ -33,10 +33,10 @@
 		},
 	}
 	flags := command.Flags()
-	flags.Float64Var(&options.From, "from", 0, "first second that is counted")
-	flags.Float64Var(&options.To, "to", 0, "second from which on nothing is counted; 0: no end")
+	flags.Float64Var(&options.From, "from", 0, "count lines from this time on, in seconds")
+	flags.Float64Var(&options.To, "to", 0, "count lines before this time, in seconds; 0: no end")
 	flags.StringVar(&options.Request, "request", "", "show all lines of this request or program")
-	flags.IntVar(&options.Programs, "programs", 0, "programs to remember at once; 0: 140,000")
+	flags.IntVar(&options.Programs, "programs", 0, "maximum number of programs in memory; 0: 140,000")
 	return command
 }
 
--- a/bvcommand/fleet.go
+++ b/bvcommand/fleet.go
@@ -10,7 +10,7 @@
 	"balsamvalve.example/bvmechanism"
 )
 
-// fleetOptions choose the load that is played.
+// fleetOptions select the load that is simulated.
 type fleetOptions struct {
 	hosts       int
 	seeds       int
@@ -22,11 +22,12 @@
 	var options fleetOptions
 	command := &cobra.Command{
 		Use:   "fleet",
-		Short: "Play a crowd on many hosts in virtual time, by what they know of each other",
-		Long: `Play programs that many routing hosts serve before model engines of few slots, in
-virtual time, with the decisions that daemons make. A crowd comes for some seconds. A
-line each tells what callers got where hosts know the calls of their own zone's hosts
-only, of all hosts by digests, and of this moment by trackers.`,
+		Short: "Simulate a surge of programs on many hosts in virtual time",
+		Long: `Simulate in virtual time, with the decision logic of daemons, many routing hosts that
+serve programs on model engines with few slots. A surge of programs lasts some seconds.
+Prints one line of results for each case: hosts know the calls of the hosts in their own
+zone only (own zone), of all hosts by digests (digests), and also the current calls by
+trackers (trackers).`,
 		Example: `  balsamvalve fleet --hosts 60
   balsamvalve fleet --hosts 295 --crowd 2 --seeds 3
   balsamvalve fleet --without admission`,
@@ -36,10 +37,10 @@
 		},
 	}
 	flags := command.Flags()
-	flags.IntVar(&options.hosts, "hosts", 60, "how many hosts there are, six or more")
-	flags.IntVar(&options.seeds, "seeds", 1, "how many seeds to play")
-	flags.Float64Var(&options.surgeFactor, "crowd", 1.6, "by how much the crowd multiplies the programs that begin")
-	flags.StringVar(&options.disabled, "without", "", "mechanisms to switch off, with commas between")
+	flags.IntVar(&options.hosts, "hosts", 60, "number of hosts, six or more")
+	flags.IntVar(&options.seeds, "seeds", 1, "number of seeds to simulate")
+	flags.Float64Var(&options.surgeFactor, "crowd", 1.6, "factor by which the surge multiplies the rate of new programs")
+	flags.StringVar(&options.disabled, "without", "", "mechanisms to switch off, separated by commas")
 	command.AddCommand(newFleetCaps())
 	return command
 }
@@ -51,7 +52,7 @@
 	}
 	load := bvfleet.SurgeLoad(options.hosts)
 	if options.hosts < load.Zones || options.surgeFactor <= 0 {
-		return usageError{fmt.Errorf("fleet: %d hosts and a crowd of %g can't be played", options.hosts, options.surgeFactor)}
+		return usageError{fmt.Errorf("fleet: can't simulate %d hosts with a crowd factor of %g", options.hosts, options.surgeFactor)}
 	}
 	load.Disabled = without
 	load.Surges[0].Factor = options.surgeFactor
@@ -64,7 +65,8 @@
 	return nil
 }
 
-// compare plays a load once for each kind of knowledge.
+// compareVariants simulates a load once for each source of information on the calls of
+// other hosts.
 func compareVariants(to io.Writer, load bvfleet.Load) error {
 	for _, variant := range []struct {
 		name             string
--- a/bvcommand/fleet_caps.go
+++ b/bvcommand/fleet_caps.go
@@ -10,7 +10,7 @@
 	"balsamvalve.example/bvfleet"
 )
 
-// capOptions choose the load of workspaces that is played.
+// capOptions select the load of workspaces that is simulated.
 type capOptions struct {
 	hosts       int
 	workspaces  int
@@ -25,11 +25,13 @@
 	var options capOptions
 	command := &cobra.Command{
 		Use:   "caps",
-		Short: "Play workspaces with usage caps on many hosts in virtual time",
-		Long: `Play programs of workspaces of different sizes, each with a usage cap, through many
-hosts in virtual time. A crowd comes in the middle third. A line each tells what ran and
-what was refused where each host has a part of each cap, where hosts go by what they tell
-each other, where they also ask an allocator near the cap, and where they ask it always.`,
+		Short: "Simulate workspaces with usage caps on many hosts in virtual time",
+		Long: `Simulate in virtual time many hosts that serve programs of workspaces of different
+sizes, each with a usage cap. A surge of programs lasts for the middle third. Prints one
+line for each way to enforce the caps, with the requests that ran and that were refused:
+each host has a fixed part of each cap (split), hosts use the counts that they report to
+each other (told), they also ask an allocator near the cap (allocator), or they always
+ask it (central).`,
 		Example: `  balsamvalve fleet caps --hosts 85
   balsamvalve fleet caps --hosts 295 --workspaces 600 --lag-ms 1200 --lost`,
 		Args: noArguments,
@@ -38,13 +40,13 @@
 		},
 	}
 	flags := command.Flags()
-	flags.IntVar(&options.hosts, "hosts", 30, "how many hosts there are")
-	flags.IntVar(&options.workspaces, "workspaces", 40, "how many workspaces there are")
-	flags.IntVar(&options.seeds, "seeds", 1, "how many seeds to play")
-	flags.Float64Var(&options.surgeFactor, "crowd", 2, "by how much the crowd multiplies the programs that begin")
-	flags.Float64Var(&options.headroom, "headroom", 1.6, "a cap, over its workspace's mean requests")
-	flags.IntVar(&options.reportLagMs, "lag-ms", 400, "within how many milliseconds hosts hear of each other's requests")
-	flags.BoolVar(&options.hostsFail, "lost", false, "all hosts are lost after the crowd")
+	flags.IntVar(&options.hosts, "hosts", 30, "number of hosts")
+	flags.IntVar(&options.workspaces, "workspaces", 40, "number of workspaces")
+	flags.IntVar(&options.seeds, "seeds", 1, "number of seeds to simulate")
+	flags.Float64Var(&options.surgeFactor, "crowd", 2, "factor by which the surge multiplies the rate of new programs")
+	flags.Float64Var(&options.headroom, "headroom", 1.6, "ratio of a cap to the mean request rate of its workspace")
+	flags.IntVar(&options.reportLagMs, "lag-ms", 400, "delay until hosts receive each other's counts of requests, in milliseconds")
+	flags.BoolVar(&options.hostsFail, "lost", false, "all hosts fail after the surge")
 	return command
 }
 
--- a/bvcommand/load.go
+++ b/bvcommand/load.go
@@ -18,10 +18,10 @@
 	"balsamvalve.example/bvload"
 )
 
-// errPromiseBroken makes the load command fail.
-var errPromiseBroken = errors.New("load: a promise was broken")
+// errPromiseBroken is returned when a run has violated a guarantee to callers.
+var errPromiseBroken = errors.New("load: a guarantee was broken")
 
-// loadFlags are the flags of the load command that are no field of its config.
+// loadFlags are the flags of the load command that are not fields of its config.
 type loadFlags struct {
 	keysFile string
 	deadline time.Duration
@@ -34,7 +34,7 @@
 	var config bvload.Config
 	command := &cobra.Command{
 		Use:   "load",
-		Short: "Send agent programs to running daemons and check the promises",
+		Short: "Send agent programs to running daemons and check the guarantees to callers",
 		Example: `  balsamvalve load --address 127.0.0.1:8080,127.0.0.1:8081 \
     --keys-file keys --programs 200 --concurrency 20`,
 		Args: noArguments,
@@ -55,11 +55,11 @@
 	return command
 }
 
-// keysVariable holds keys. They are never arguments, which every user of the
-// machine can read.
+// keysVariable names the environment variable with the keys. Keys are never
+// arguments, since every user of the machine can read those.
 const keysVariable = "BALSAMVALVE_KEYS"
 
-// callerKeys returns a caller's key of each member or workspace, from a file or the
+// callerKeys returns a caller key of each member or workspace, from a file or the
 // environment.
 func callerKeys(path string) (map[string]string, error) {
 	if path == "" {
@@ -76,22 +76,22 @@
 func (flags *loadFlags) addFlags(command *cobra.Command) {
 	set := command.Flags()
 	set.StringVar(&flags.keysFile, "keys-file", "", "the daemons' keys file; or set "+keysVariable)
-	set.DurationVar(&flags.deadline, "deadline", 0, "of each request, its repeats included; 0: default")
-	set.StringVar(&flags.jsonFile, "json", "", "file that takes the report as JSON")
-	set.StringVar(&flags.plotFile, "plot", "", "file that takes the latencies as a plot (.svg or .png)")
+	set.DurationVar(&flags.deadline, "deadline", 0, "deadline of each request, including its retries; 0: default")
+	set.StringVar(&flags.jsonFile, "json", "", "write the report as JSON to this file")
+	set.StringVar(&flags.plotFile, "plot", "", "write a plot of the latencies to this .svg or .png file")
 }
 
 func addLoadConfig(command *cobra.Command, config *bvload.Config) {
 	set := command.Flags()
-	set.StringSliceVar(&config.Addresses, "address", nil, "caller API of the daemons, IP and port")
-	set.IntVar(&config.Programs, "programs", 0, "programs in all; 0: default")
-	set.IntVar(&config.Concurrency, "concurrency", 0, "closed loop: programs under way; 0: default")
-	set.Float64Var(&config.Rate, "rate", 0, "open loop: programs that begin a second; 0: closed loop")
-	set.Uint64Var(&config.Seed, "seed", 1, "of all that is drawn")
-	set.IntVar(&config.Tries, "tries", 0, "of each request; 0: default")
-	set.Float64Var(&config.Pauses, "pauses", 0, "factor on all pauses; 0: 1, negative: none")
-	set.StringSliceVar(&config.Counters, "service", nil, "stand-in services that are asked how often a request ran")
-	set.StringSliceVar(&config.Engines, "engine", nil, "stand-in engines that are asked what they hold at the end")
+	set.StringSliceVar(&config.Addresses, "address", nil, "IP and port of the caller API of each daemon")
+	set.IntVar(&config.Programs, "programs", 0, "total number of programs; 0: default")
+	set.IntVar(&config.Concurrency, "concurrency", 0, "closed loop: number of concurrent programs; 0: default")
+	set.Float64Var(&config.Rate, "rate", 0, "open loop: new programs per second; 0: closed loop")
+	set.Uint64Var(&config.Seed, "seed", 1, "seed of the random numbers")
+	set.IntVar(&config.Tries, "tries", 0, "maximum number of attempts of each request; 0: default")
+	set.Float64Var(&config.Pauses, "pauses", 0, "factor on all pauses; 0: factor 1, negative: no pauses")
+	set.StringSliceVar(&config.Counters, "service", nil, "addresses of stand-in services, queried for the number of runs of each request")
+	set.StringSliceVar(&config.Engines, "engine", nil, "addresses of stand-in engines, queried for the calls that they still hold at the end")
 }
 
 func (flags *loadFlags) run(command *cobra.Command, config bvload.Config) error {
--- a/bvcommand/load_workspaces.go
+++ b/bvcommand/load_workspaces.go
@@ -21,10 +21,10 @@
 	var skew float64
 	command := &cobra.Command{
 		Use:   "workspaces",
-		Short: "Send workspaces' programs through routing hosts and check the answers",
-		Long: `Send workspaces' programs through running routing hosts whose endpoints are
-emulated ("balsamvalve standin site"), with the key of each workspace and now and then
-one that nobody holds, and check that each caller gets its own answers.`,
+		Short: "Send programs of workspaces through routing hosts and check the answers",
+		Long: `Send programs of workspaces through running routing hosts whose endpoints are emulated
+("balsamvalve standin site"), with the key of each workspace and occasionally an unknown
+key, and check that each caller gets its own answers.`,
 		Example: `  balsamvalve load workspaces --address 127.0.0.1:8080,127.0.0.1:8081 \
     --keys-file keys --programs 200 --concurrency 20 --skew 1`,
 		Args: noArguments,
@@ -39,11 +39,11 @@
 	}
 	set := command.Flags()
 	set.StringVar(&keysFile, "keys-file", "", "callers' keys; or set "+keysVariable)
-	set.StringSliceVar(&load.Addresses, "address", nil, "callers' addresses of the hosts, IP and port")
-	set.IntVar(&load.Programs, "programs", 0, "programs in all; 0: default")
-	set.IntVar(&load.Concurrency, "concurrency", 0, "programs under way; 0: default")
-	set.Uint64Var(&load.Seed, "seed", 1, "of all that is drawn")
-	set.Float64Var(&skew, "skew", 0, "how unequal the workspaces are: shares fall with this power of the rank")
+	set.StringSliceVar(&load.Addresses, "address", nil, "IP and port of the caller API of each host")
+	set.IntVar(&load.Programs, "programs", 0, "total number of programs; 0: default")
+	set.IntVar(&load.Concurrency, "concurrency", 0, "number of concurrent programs; 0: default")
+	set.Uint64Var(&load.Seed, "seed", 1, "seed of the random numbers")
+	set.Float64Var(&skew, "skew", 0, "skew of the load: shares of workspaces decrease with this power of their rank; 0: equal")
 	return command
 }
 
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// workspacesOf returns a workspace for each key, in the order of their names. With a
-// skew above 0, the later ones send less: the share falls with that power of the rank.
+// workspacesOf returns a workspace for each key, sorted by name. With a skew above 0,
+// later workspaces send less: the share decreases with that power of the rank.
 func workspacesOf(keys map[string]string, skew float64) []bvemulator.Workspace {
 	workspaces := make([]bvemulator.Workspace, 0, len(keys))
 	for rank, name := range slices.Sorted(maps.Keys(keys)) {
@@ -75,7 +75,7 @@
 	return workspaces
 }
 
-// shareOf is the share of the workspace of a rank, from 0.
+// shareOf returns the share of the workspace with the given rank, from 0.
 func shareOf(rank int, skew float64) float64 {
 	return math.Pow(float64(rank+1), -skew)
 }
--- a/bvcommand/route.go
+++ b/bvcommand/route.go
@@ -27,7 +27,7 @@
 		Long: `Run one host's daemon on the users' platform until SIGTERM or SIGINT, then stop
 gracefully. The settings come from the file that ` + platform.SettingsVariable + ` names.
 
-For experiments only, --without switches off mechanisms by which the daemon decides:
+For experiments only, --without switches off mechanisms of the daemon's decision logic:
 ` + describeMechanisms(),
 		Example: "  " + platform.SettingsVariable + "=/etc/balsamvalve/node.toml balsamvalve route",
 		Args:    noArguments,
@@ -35,11 +35,11 @@
 			return runRoute(command, without)
 		},
 	}
-	command.Flags().StringVar(&without, "without", "", "mechanisms to switch off, with commas between (experiments only)")
+	command.Flags().StringVar(&without, "without", "", "mechanisms to switch off, separated by commas (experiments only)")
 	return command
 }
 
-// mechanisms lists what --without takes.
+// describeMechanisms lists the mechanisms that --without accepts.
 func describeMechanisms() string {
 	var list strings.Builder
 	for _, mechanism := range bvmechanism.All() {
@@ -74,12 +74,12 @@
 	return router.Run(ctx)
 }
 
-// settingsInterval is the time between two looks at the settings file, which
+// settingsInterval is the interval at which the settings file is polled, since it
 // may change without a signal.
 const settingsInterval = 2 * bvclock.Second
 
-// followSettings takes over the settings file when it changes or SIGHUP comes.
-// A file that can't be used is told of, and what is in force stays.
+// followSettings reloads the settings file when it changes or SIGHUP arrives. An
+// invalid file is logged, and the settings in force stay.
 func followSettings(ctx context.Context, path string, router *bvrouter.Router, log logrus.FieldLogger) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
@@ -105,8 +105,8 @@
 	}
 }
 
-// modified returns when a file was last changed; a file that can't be looked
-// at counts as never, and reading it tells why.
+// modTime returns the modification time of a file. It is zero if the file can't be
+// examined; the error shows when the file is read.
 func modTime(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
--- a/bvcommand/serve.go
+++ b/bvcommand/serve.go
@@ -19,7 +19,7 @@
 		Use:   "serve",
 		Short: "Run one host's daemon",
 		Long: `Run one host's daemon until SIGTERM or SIGINT, then stop gracefully: no
-request in flight is cut off. A second signal ends it at once.`,
+request in flight is cut off. A second signal ends the process at once.`,
 		Example: `  balsamvalve serve --platform-address 127.0.0.1:8090 --keys-file keys.txt
   BALSAMVALVE_ZONE=koper balsamvalve serve --keys-file keys.txt`,
 		Args: noArguments,
@@ -47,7 +47,7 @@
 	defer stop()
 	go func() {
 		<-ctx.Done()
-		stop() // a second signal has its usual effect
+		stop() // restores the default effect of a second signal
 	}()
 	return daemon.Run(ctx)
 }
--- a/bvcommand/settings.go
+++ b/bvcommand/settings.go
@@ -14,8 +14,8 @@
 	settings := &cobra.Command{
 		Use:   "settings",
 		Short: "Print the settings in force, without secrets",
-		Long: `Print what "serve" would run with, given the same flags and environment, and
-where each value comes from. Keys are never printed.`,
+		Long: `Print the settings that "serve" would use with the same flags and environment,
+and the source of each value. Keys are never printed.`,
 		Example: `  balsamvalve settings
   balsamvalve settings --zone koper --write-budget 200`,
 		Args: noArguments,
--- a/bvcommand/standin.go
+++ b/bvcommand/standin.go
@@ -31,7 +31,7 @@
 func newStandin() *cobra.Command {
 	command := &cobra.Command{
 		Use:   "standin",
-		Short: "Small stand-ins of the platform and of endpoints, for tests and demonstrations",
+		Short: "Run small stand-ins for the platform and for endpoints, for tests and demonstrations",
 		Example: `  balsamvalve standin platform --address 127.0.0.1:8090
   balsamvalve standin engine --platform 127.0.0.1:8090 --model small`,
 		Args: noArguments,
@@ -58,10 +58,10 @@
 }
 
 func addAddressFlag(command *cobra.Command, address *string) {
-	command.Flags().StringVar(address, "address", defaultStandinAddress, "IP and port to listen on; port 0 chooses one")
+	command.Flags().StringVar(address, "address", defaultStandinAddress, "IP and port to listen on; port 0 chooses a free one")
 }
 
-// endpointFlags are the flags that engines and services share.
+// endpointFlags are the common flags of engines and services.
 type endpointFlags struct {
 	address  string
 	platform string
@@ -74,11 +74,11 @@
 func (flags *endpointFlags) addFlags(command *cobra.Command, name string) {
 	addAddressFlag(command, &flags.address)
 	set := command.Flags()
-	set.StringVar(&flags.platform, "platform", "", "IP and port of the platform; empty: not announced")
+	set.StringVar(&flags.platform, "platform", "", "IP and port of the platform where the endpoint is announced; empty: not announced")
 	set.StringVar(&flags.name, "name", name, "name of the endpoint")
 	set.StringVar(&flags.zone, "zone", "", "availability zone")
-	set.BoolVar(&flags.fencing, "fencing", false, "refuse orders with an old fencing number")
-	set.DurationVar(&flags.drain, "drain", defaultDrain, "how long it goes on serving after it began to leave")
+	set.BoolVar(&flags.fencing, "fencing", false, "refuse orders with an outdated fencing number")
+	set.DurationVar(&flags.drain, "drain", defaultDrain, "time to keep serving after the endpoint is marked as leaving")
 }
 
 func newStandinEngine() *cobra.Command {
@@ -87,7 +87,7 @@
 	var loadLag, eventLag time.Duration
 	command := &cobra.Command{
 		Use:   "engine",
-		Short: "Serve a model engine that answers with digests",
+		Short: "Serve a model engine whose answers are digests of the prompt",
 		Example: `  balsamvalve standin engine --platform 127.0.0.1:8090 --name engine-1 --model small --slots 8
   balsamvalve standin engine --platform 127.0.0.1:8090 --name engine-2 --vary --decode 150`,
 		Args: noArguments,
@@ -102,29 +102,29 @@
 	flags.addFlags(command, "engine-1")
 	addEngineFlags(command, &config)
 	set := command.Flags()
-	set.DurationVar(&loadLag, "load-lag", 0, "age of load reports")
-	set.DurationVar(&eventLag, "event-lag", 0, "age of cache events")
+	set.DurationVar(&loadLag, "load-lag", 0, "delay of load reports")
+	set.DurationVar(&eventLag, "event-lag", 0, "delay of cache events")
 	return command
 }
 
 func addEngineFlags(command *cobra.Command, config *bvstandin.EngineConfig) {
 	set := command.Flags()
-	set.StringVar(&config.Model, "model", "", "model that it serves; empty: any")
-	set.BoolVar(&config.Instant, "instant", false, "answer at once")
-	set.BoolVar(&config.Vary, "vary", false, "write another text each time a call is run")
-	set.IntVar(&config.OutputTokens, "output-tokens", 0, "tokens of an answer that has no max_tokens; 0: default")
-	set.IntVar(&config.MaxWaiting, "max-waiting", 0, "calls that wait before it refuses; 0: unbounded")
-	set.IntVar(&config.EventGap, "event-gap", 0, "every n-th cache event is lost; 0: none")
+	set.StringVar(&config.Model, "model", "", "model that the engine serves; empty: any")
+	set.BoolVar(&config.Instant, "instant", false, "answer without simulated latency")
+	set.BoolVar(&config.Vary, "vary", false, "generate a different text in each run of a call")
+	set.IntVar(&config.OutputTokens, "output-tokens", 0, "tokens of an answer to a call without max_tokens; 0: default")
+	set.IntVar(&config.MaxWaiting, "max-waiting", 0, "maximum number of waiting calls, above which calls are refused; 0: unbounded")
+	set.IntVar(&config.EventGap, "event-gap", 0, "lose every n-th cache event; 0: none")
 	addBatchFlags(command, &config.Batch)
 }
 
 func addBatchFlags(command *cobra.Command, batch *bvmodel.Config) {
 	set := command.Flags()
-	set.IntVar(&batch.Slots, "slots", 0, "calls batched at once; 0: default")
-	set.IntVar(&batch.CacheTokens, "cache-tokens", 0, "tokens of KV cache; 0: default")
-	set.Float64Var(&batch.PrefillTokensPerSecond, "prefill", 0, "prefilled tokens a second; 0: default")
-	set.Float64Var(&batch.DecodeTokensPerSecond, "decode", 0, "decoded tokens a second of a call alone; 0: default")
-	set.Float64Var(&batch.Slowdown, "slowdown", 0, "by which each further call stretches the time between tokens")
+	set.IntVar(&batch.Slots, "slots", 0, "maximum number of calls in a batch; 0: default")
+	set.IntVar(&batch.CacheTokens, "cache-tokens", 0, "size of the KV cache in tokens; 0: default")
+	set.Float64Var(&batch.PrefillTokensPerSecond, "prefill", 0, "prefilled tokens per second; 0: default")
+	set.Float64Var(&batch.DecodeTokensPerSecond, "decode", 0, "decoded tokens per second of a single call; 0: default")
+	set.Float64Var(&batch.Slowdown, "slowdown", 0, "increase of the time between tokens with each further call in the batch")
 }
 
 func newStandinService() *cobra.Command {
@@ -145,7 +145,7 @@
 	return command
 }
 
-// standinEndpoint is a stand-in that the platform lists.
+// standinEndpoint is a stand-in that is listed by the platform.
 type standinEndpoint interface {
 	http.Handler
 	Endpoint(address string) bvplatform.Endpoint
@@ -164,7 +164,8 @@
 	return server.run(flags.address)
 }
 
-// announce keeps the endpoint listed and returns what takes it off the list.
+// announce keeps the endpoint listed. The returned function drains it and removes it
+// from the list.
 func (flags *endpointFlags) announce(ctx context.Context, endpoint standinEndpoint, client *bvplatform.Client, address string) func() {
 	announcer := &bvstandin.Announcer{
 		Client:   client,
@@ -185,7 +186,7 @@
 	}
 }
 
-// standinServer runs a handler until the process is told to stop.
+// standinServer serves a handler until the process receives SIGINT or SIGTERM.
 type standinServer struct {
 	handler http.Handler
 	stdout  io.Writer
--- a/bvcommand/standin_site.go
+++ b/bvcommand/standin_site.go
@@ -27,9 +27,9 @@
 		Use:   "site",
 		Short: "Emulate the users' platform for routing hosts: store, engines, services, workspaces",
 		Long: `Emulate the users' platform for routing hosts on loopback until SIGTERM or SIGINT.
-The first line tells where the store listens; put it into the settings files of
-"balsamvalve route". Callers' keys of the keys file become workspaces, all with the
-same usage cap; without keys, requests need none.`,
+The first line of output is the address of the store, for the settings files of
+"balsamvalve route". Each caller key of the keys file becomes a workspace, all with the
+same usage cap; without keys, requests need no key.`,
 		Example: `  balsamvalve standin site --engines 3 --services 2 --keys-file keys --rate 50 --burst 50`,
 		Args:    noArguments,
 		RunE: func(command *cobra.Command, _ []string) error {
@@ -38,16 +38,16 @@
 	}
 	set := command.Flags()
 	set.StringVar(&flags.keysFile, "keys-file", "", "callers' keys; or set "+keysVariable)
-	set.IntVar(&flags.config.Engines, "engines", 3, "engines")
-	set.IntVar(&flags.config.Apps, "services", 2, "instances of a plain service")
-	set.Float64Var(&flags.rate, "rate", 0, "usage cap of each workspace in requests a second; 0: none")
-	set.Float64Var(&flags.burst, "burst", 0, "requests beyond it")
+	set.IntVar(&flags.config.Engines, "engines", 3, "number of engines")
+	set.IntVar(&flags.config.Apps, "services", 2, "number of instances of a plain service")
+	set.Float64Var(&flags.rate, "rate", 0, "usage cap of each workspace in requests per second; 0: none")
+	set.Float64Var(&flags.burst, "burst", 0, "burst of requests above the rate")
 	return command
 }
 
 func (flags *siteFlags) run(command *cobra.Command) error {
 	if flags.config.Engines < 0 || flags.config.Apps < 0 || flags.rate < 0 || flags.burst < 0 {
-		return usageError{errors.New("standin: a number is negative")}
+		return usageError{errors.New("standin: --engines, --services, --rate and --burst must not be negative")}
 	}
 	keys, err := callerKeys(flags.keysFile)
 	if err != nil {
--- a/bvcommand/status.go
+++ b/bvcommand/status.go
@@ -9,9 +9,9 @@
 		Short: "Show hosts, endpoints and members against their shares",
 		Long: `Show all hosts with the version of the table that each has in force, all
 endpoints with their running calls, and the members with their shares. Any host
-answers; one that doesn't answer the asked host within a second is shown as
-such. Operators see the work, queue, calls, programs and refusals of their own
-member, and of the others the share alone.
+can be queried; hosts that don't answer it within a second are shown as
+"no answer". Operators see the work, queue, calls, programs and refusals of their
+own member, and only the shares of the others.
 
 The key comes from BALSAMVALVE_KEY or from the file of --key-file, never from an
 argument.`,
--- a/bvcommand/table.go
+++ b/bvcommand/table.go
@@ -12,11 +12,12 @@
 	keyEnvironment         = "BALSAMVALVE_KEY"
 	operatorEnvironment    = "BALSAMVALVE_OPERATOR_ADDRESS"
 	defaultOperatorAddress = "127.0.0.1:8082"
-	// tableTimeout outlasts an edit (10 s) and the wait for confirmations (3.5 s).
+	// tableTimeout exceeds the limits of an edit (10 s) and of the wait for
+	// confirmations (3.5 s).
 	tableTimeout = 20 * bvclock.Second
 )
 
-// tableCommand holds the flags that the commands for operators share.
+// tableCommand holds the common flags of the commands for operators.
 type tableCommand struct {
 	address string
 	keyFile string
@@ -30,8 +31,8 @@
 		Use:   "table",
 		Short: "Read and edit the operators' table",
 		Long: `Read and edit the operators' table: a row per member or class of programs, with
-share, priority and limits. Any host answers. An edit is accepted whole or not
-at all; the command then waits until all live hosts have it in force, and names
+share, priority and limits. Any host can be queried. An edit is applied
+completely or not at all; the command then waits until all live hosts have it in force, and names
 those that haven't confirmed within 3.5 s.
 
 The key comes from BALSAMVALVE_KEY or from the file of --key-file, never from an
@@ -50,19 +51,19 @@
 	return table
 }
 
-// define adds the flags.
+// addFlags adds the flags to a set.
 func (flags *tableCommand) addFlags(set *pflag.FlagSet) {
 	set.StringVar(&flags.address, "operator-address", "",
-		"IP:port of a host's operators' HTTP ["+operatorEnvironment+"] (default "+defaultOperatorAddress+")")
-	set.StringVar(&flags.keyFile, "key-file", "", "file that holds the key alone")
-	set.StringVar(&flags.caFile, "ca", "", "certificates (PEM file) to trust; turns HTTPS on")
+		"IP and port of the operator API of a host ["+operatorEnvironment+"] (default "+defaultOperatorAddress+")")
+	set.StringVar(&flags.keyFile, "key-file", "", "file that contains only the key")
+	set.StringVar(&flags.caFile, "ca", "", "PEM file of trusted certificates; enables HTTPS")
 	set.BoolVar(&flags.asJSON, "json", false, "print JSON")
 }
 
 func newTableGet(flags *tableCommand) *cobra.Command {
 	return &cobra.Command{
 		Use:   "get [member[/class]]",
-		Short: "Print the rows, or one of them",
+		Short: "Print all rows, or one row",
 		Example: `  balsamvalve table get
   balsamvalve table get piran/booking --json`,
 		Args: usageArgs(cobra.MaximumNArgs(1)),
@@ -93,9 +94,9 @@
 	set := &cobra.Command{
 		Use:   "set member[/class] column=value...",
 		Short: "Change cells of a row, all or none",
-		Long: `Change cells of a row, all or none. A class that has no row yet gets one. The
-cells must still hold what the command read first; with --force they may hold
-anything. Columns: priority, rate, concurrency, budget, turns, idle, models,
+		Long: `Change cells of a row, all or none. A row is added for a class that has none.
+The change fails if a cell has changed since the command read it; --force
+overwrites it in any case. Columns: priority, rate, concurrency, budget, turns, idle, models,
 services. A share changes by "table propose" only.`,
 		Example: `  balsamvalve table set piran budget=5000 idle=15m
   balsamvalve table set brindley/quote priority=9 "models=small large"
@@ -121,7 +122,7 @@
 		},
 	}
 	set.Flags().BoolVar(&remove, "remove", false, "remove the row of a class")
-	set.Flags().BoolVar(&force, "force", false, "overwrite, whatever the cells hold")
+	set.Flags().BoolVar(&force, "force", false, "overwrite cells that were changed meanwhile")
 	return set
 }
 
@@ -131,9 +132,10 @@
 		Use:   "import file.csv",
 		Short: "Change all cells in which a CSV differs from its export",
 		Long: `Change all cells in which a CSV differs from its export, all or none. "-" reads
-standard input. The version column tells what the CSV was exported from, so an
-import reverts nothing that others changed meanwhile; a cell that both changed
-is a conflict. The first table of all is imported by an admin, at version 0.`,
+standard input. The version column states the version of the exported table, so
+that an import does not revert changes that others have made since; a cell that
+both have changed is a conflict. The very first table is imported by an admin, at
+version 0.`,
 		Example: `  balsamvalve table export > table.csv
   balsamvalve table import table.csv`,
 		Args: usageArgs(cobra.ExactArgs(1)),
@@ -150,7 +152,7 @@
 			return flags.printOutcome(command, outcome, err)
 		},
 	}
-	command.Flags().BoolVar(&remove, "remove-missing", false, "remove own classes that the CSV lacks")
+	command.Flags().BoolVar(&remove, "remove-missing", false, "remove own classes that are missing from the CSV")
 	return command
 }
 
@@ -180,7 +182,7 @@
 	var limit int
 	history := &cobra.Command{
 		Use:   "history",
-		Short: "Print who changed what, newest first",
+		Short: "Print the changes and their authors, newest first",
 		Example: `  balsamvalve table history --limit 10
   balsamvalve table history --below 1200`,
 		Args: noArguments,
@@ -201,7 +203,7 @@
 		},
 	}
 	history.Flags().Int64Var(&below, "below", 0, "only versions below this one")
-	history.Flags().IntVar(&limit, "limit", 20, "number of versions to look at")
+	history.Flags().IntVar(&limit, "limit", 20, "number of versions to read")
 	return history
 }
 
@@ -210,7 +212,7 @@
 		Use:   "propose member=share...",
 		Short: "Propose shares; the other members must accept",
 		Long: `Propose the shares of all members, in percent; they must add up to 100. A new
-member joins with its share, one whose share is 0 leaves. The shares take effect
+member joins with its share; a member whose share is 0 leaves. The shares take effect
 when an operator of every other member concerned has accepted.`,
 		Example: `  balsamvalve table propose piran=55 brindley=45
   balsamvalve table propose piran=40 brindley=40 izola=20`,
@@ -250,7 +252,7 @@
 func newTableProposals(flags *tableCommand) *cobra.Command {
 	return &cobra.Command{
 		Use:     "proposals",
-		Short:   "Print the proposals and whose consent they await",
+		Short:   "Print the proposals and the members whose consent is missing",
 		Example: `  balsamvalve table proposals`,
 		Args:    noArguments,
 		RunE: func(command *cobra.Command, _ []string) error {
@@ -273,7 +275,7 @@
 	}
 }
 
-// arguments makes a wrong number of arguments a mistake of use.
+// usageArgs makes a wrong number of arguments a usage error.
 func usageArgs(check cobra.PositionalArgs) cobra.PositionalArgs {
 	return func(command *cobra.Command, args []string) error {
 		if err := check(command, args); err != nil {
--- a/bvcommand/table_test.go
+++ b/bvcommand/table_test.go
@@ -88,7 +88,7 @@
 	require.Contains(t, requireSuccess(t, "table", "get"), "version 1\n")
 }
 
-// Guards against an operator who sees a rival's classes and budgets.
+// Guards against an operator who sees the classes and budgets of another member.
 func TestOperatorSeesNoRivalsLimits(t *testing.T) {
 	startOperators(t)
 	t.Setenv(keyEnvironment, "brindley-operator-key")
--- a/bvcommand/tableclient.go
+++ b/bvcommand/tableclient.go
@@ -48,7 +48,7 @@
 	if flags.keyFile == "" {
 		key := strings.TrimSpace(os.Getenv(keyEnvironment))
 		if key == "" {
-			return "", fmt.Errorf("no key: set %s or give --key-file", keyEnvironment)
+			return "", fmt.Errorf("no key: set %s or --key-file", keyEnvironment)
 		}
 		return key, nil
 	}
@@ -76,7 +76,7 @@
 		return []bvtable.CellEdit{{Member: name.Member, Class: name.Class, Column: bvtable.Presence, New: bvtable.Absent}}, nil
 	}
 	if len(args) == 0 {
-		return nil, errors.New("give column=value")
+		return nil, errors.New("no cells: column=value is needed")
 	}
 	var cells []bvtable.CellEdit
 	for _, arg := range args {
@@ -93,8 +93,9 @@
 	return cells, nil
 }
 
-// expect fills in what the cells hold now, so that an edit which somebody else
-// makes between this look and the change is a conflict and not overwritten.
+// setExpected sets the current contents of the cells as their old ones, so that an
+// edit by another operator between this read and the change is a conflict and is not
+// overwritten.
 func setExpected(command *cobra.Command, client *bvoperator.Client, cells []bvtable.CellEdit) error {
 	view, err := client.Get(command.Context())
 	if err != nil {
@@ -134,5 +135,5 @@
 			return []bvtable.Row{row}, nil
 		}
 	}
-	return nil, fmt.Errorf("there is no row %s that this key may see", name)
+	return nil, fmt.Errorf("row %s does not exist or is not visible with this key", name)
 }
--- a/bvcommand/tableprint.go
+++ b/bvcommand/tableprint.go
@@ -21,7 +21,7 @@
 
 func printView(command *cobra.Command, view bvoperator.View) error {
 	if !view.Confirmed {
-		_, _ = fmt.Fprintln(command.ErrOrStderr(), "warning: the platform can't be reached; this is what the host has in force")
+		_, _ = fmt.Fprintln(command.ErrOrStderr(), "warning: the platform can't be reached; the table is the one in force on this host")
 	}
 	_, _ = fmt.Fprintf(command.OutOrStdout(), "version %d\n", view.Version)
 	writer := tabwriter.NewWriter(command.OutOrStdout(), 0, 0, 2, ' ', 0)
