--- a/bvcommand/standin.go
+++ b/bvcommand/standin.go
@@ -150,7 +150,7 @@
 	http.Handler
 	Endpoint(address string) bvplatform.Endpoint
 	Leave()
-	Idle() bool
+	IsIdle() bool
 }
 
 func (flags *endpointFlags) serve(endpoint standinEndpoint, stdout io.Writer) error {
@@ -178,7 +178,7 @@
 		_ = announcer.Announce(context.Background())
 		time.Sleep(flags.drain)
 		deadline := time.Now().Add(shutdownTimeout)
-		for !endpoint.Idle() && time.Now().Before(deadline) {
+		for !endpoint.IsIdle() && time.Now().Before(deadline) {
 			time.Sleep(idlePoll)
 		}
 		cancel()
--- a/bvstandin/announcer.go
+++ b/bvstandin/announcer.go
@@ -10,17 +10,17 @@
 
 const (
 	announceInterval = time.Second
-	endpointLapse    = 3 * bvclock.Second
+	endpointTTL      = 3 * bvclock.Second
 )
 
-// Announcer keeps an endpoint on the platform's list.
+// Announcer registers an endpoint on the platform's list and renews the entry.
 type Announcer struct {
 	Client   *bvplatform.Client
-	Endpoint func() bvplatform.Endpoint // as it stands now
+	Endpoint func() bvplatform.Endpoint // returns the current entry
 }
 
-// Run announces the endpoint again and again until ctx ends. A failed
-// announcement is made again with the next one.
+// Run announces the endpoint at every announceInterval until ctx is done. It ignores
+// a failed announcement, since the next one replaces it.
 func (announcer *Announcer) Run(ctx context.Context) {
 	ticker := time.NewTicker(announceInterval)
 	defer ticker.Stop()
@@ -34,12 +34,12 @@
 	}
 }
 
-// Announce announces the endpoint once.
+// Announce writes the endpoint's entry to the list once.
 func (announcer *Announcer) Announce(ctx context.Context) error {
-	return announcer.Client.PutEndpoint(ctx, announcer.Endpoint(), endpointLapse)
+	return announcer.Client.PutEndpoint(ctx, announcer.Endpoint(), endpointTTL)
 }
 
-// Remove takes the endpoint off the list.
+// Remove removes the endpoint from the list.
 func (announcer *Announcer) Remove(ctx context.Context) error {
 	return announcer.Client.RemoveEndpoint(ctx, announcer.Endpoint().Name)
 }
--- a/bvstandin/batch.go
+++ b/bvstandin/batch.go
@@ -7,32 +7,32 @@
 	"balsamvalve.example/bvmodel"
 )
 
-// modelTime is the time of an engine's model, which goes slower than the real
-// one when the engine is slow.
+// modelTime is the clock of an engine's model. It runs slower than real time when the
+// engine has the slow fault.
 type modelTime struct {
-	real  bvclock.Time
-	model float64
-	slow  float64
+	real     bvclock.Time
+	model    float64
+	slowdown float64
 }
 
 func (modelTime *modelTime) now(real bvclock.Time) bvclock.Time {
-	modelTime.model += float64(real.Sub(modelTime.real)) / modelTime.factor()
+	modelTime.model += float64(real.Sub(modelTime.real)) / modelTime.slowdownFactor()
 	modelTime.real = real
 	return bvclock.Time(modelTime.model)
 }
 
-func (modelTime *modelTime) factor() float64 {
-	return max(modelTime.slow, 1)
+func (modelTime *modelTime) slowdownFactor() float64 {
+	return max(modelTime.slowdown, 1)
 }
 
-// submit gives a call to the model. The engine's mutex is held.
+// submit submits a call to the model. The caller holds the engine's mutex.
 func (engine *Engine) submit(stream *stream, priority int) {
 	engine.lastCall++
 	stream.call = engine.lastCall
 	engine.calls[stream.call] = stream
 	engine.stats.Calls++
 	if engine.config.Instant {
-		engine.answerAtOnce(stream)
+		engine.completeInstantly(stream)
 		return
 	}
 	now := engine.time.now(engine.clock.Now())
@@ -41,26 +41,26 @@
 		Salt:         stream.key.salt,
 		Prefix:       stream.key.prefix,
 		PromptTokens: stream.prompt.tokens,
-		PrefixTokens: shared(engine.held[stream.key], stream.prompt.messages),
-		OutputTokens: stream.total,
+		PrefixTokens: commonPrefixTokens(engine.cachedMessages[stream.key], stream.prompt.messages),
+		OutputTokens: stream.totalTokens,
 		Priority:     priority,
 	})
 	engine.advance()
-	if engine.running {
+	if engine.loopRunning {
 		engine.wakeUp()
 		return
 	}
-	engine.running = true
-	go engine.loop()
+	engine.loopRunning = true
+	go engine.runModel()
 }
 
-func (engine *Engine) answerAtOnce(stream *stream) {
+func (engine *Engine) completeInstantly(stream *stream) {
 	if stream.poisoned {
 		engine.crash()
 		return
 	}
-	stream.produced = stream.total
-	engine.finish(stream)
+	stream.producedTokens = stream.totalTokens
+	engine.finishStream(stream)
 }
 
 func (engine *Engine) wakeUp() {
@@ -70,8 +70,8 @@
 	}
 }
 
-// loop moves the model on until it is idle.
-func (engine *Engine) loop() {
+// runModel advances the model until it is idle.
+func (engine *Engine) runModel() {
 	for {
 		pause, busy := engine.step()
 		if !busy {
@@ -86,41 +86,43 @@
 	}
 }
 
-// step moves the model to the present and tells how long nothing will change.
+// step advances the model to the current time and returns how long to wait until the
+// next event or token, and whether the model is busy.
 func (engine *Engine) step() (pause time.Duration, busy bool) {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	engine.advance()
 	next, busy := engine.model.Next()
 	if !busy {
-		engine.running = false
+		engine.loopRunning = false
 		return 0, false
 	}
 	now := engine.time.now(engine.clock.Now())
 	untilEvent := float64(next.Sub(now))
 	untilToken := 1000 / engine.model.Config().DecodeTokensPerSecond
-	milliseconds := max(1, min(untilEvent, untilToken)*engine.time.factor())
+	milliseconds := max(1, min(untilEvent, untilToken)*engine.time.slowdownFactor())
 	return time.Duration(milliseconds * float64(time.Millisecond)), true
 }
 
-// advance takes over what has happened in the model.
+// advance advances the model to the current time and applies its events and produced
+// tokens to the streams.
 func (engine *Engine) advance() {
 	now := engine.time.now(engine.clock.Now())
 	for _, event := range engine.model.Advance(now) {
-		if engine.take(event) {
+		if engine.handleEvent(event) {
 			return
 		}
 	}
 	for id, stream := range engine.calls {
 		stream.produce(engine.model.ProducedTokens(id))
 	}
-	engine.report()
+	engine.recordLoad()
 }
 
-// take takes over one event and reports whether it crashed the engine.
-func (engine *Engine) take(event bvmodel.Event) bool {
+// handleEvent applies one event of the model and reports whether it crashed the engine.
+func (engine *Engine) handleEvent(event bvmodel.Event) bool {
 	if event.Kind == bvmodel.Evicted {
-		engine.drop(cacheKey{event.Salt, event.Prefix}, event.Kind.String(), event.CachedTokens)
+		engine.dropPrefix(cacheKey{event.Salt, event.Prefix}, event.Kind.String(), event.CachedTokens)
 		return false
 	}
 	stream := engine.calls[event.Call]
@@ -129,50 +131,52 @@
 	}
 	switch event.Kind {
 	case bvmodel.Started:
-		stream.cached = event.CachedTokens
+		stream.cachedTokens = event.CachedTokens
 		if stream.poisoned {
 			engine.crash()
 			return true
 		}
 	case bvmodel.Finished:
-		stream.produced = stream.total
-		engine.finish(stream)
+		stream.producedTokens = stream.totalTokens
+		engine.finishStream(stream)
 	}
 	return false
 }
 
-// finish ends a stream whose tokens are all out. Its prefix is cached now.
-func (engine *Engine) finish(stream *stream) {
+// finishStream ends a stream that has produced all its tokens and publishes its prefix
+// as cached.
+func (engine *Engine) finishStream(stream *stream) {
 	delete(engine.calls, stream.call)
 	stream.end(streamFinished)
 	if stream.key.prefix == "" || engine.config.Instant {
 		return
 	}
-	engine.held[stream.key] = append(stream.prompt.messages, answerMessage(stream.text()))
+	engine.cachedMessages[stream.key] = append(stream.prompt.messages, answerMessage(stream.text()))
 	engine.publish("cached", stream.key, engine.model.CachedPrefixTokens(stream.key.salt, stream.key.prefix))
 }
 
-// drop notes that a prefix is no longer cached.
-func (engine *Engine) drop(key cacheKey, kind string, tokens int) {
-	delete(engine.held, key)
+// dropPrefix removes a prefix that is no longer cached and publishes the event.
+func (engine *Engine) dropPrefix(key cacheKey, kind string, tokens int) {
+	delete(engine.cachedMessages, key)
 	engine.publish(kind, key, tokens)
 }
 
-// abandon cancels a stream that nobody has read for a while, and forgets it.
-func (engine *Engine) abandon(stream *stream, readings int) {
+// cancelUnread cancels and removes a stream that has no reader. It does nothing if the
+// stream has had a new reader since the cancellation was scheduled.
+func (engine *Engine) cancelUnread(stream *stream, totalReaders int) {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	if stream.readers > 0 || stream.readings != readings {
+	if stream.readers > 0 || stream.totalReaders != totalReaders {
 		return
 	}
-	engine.stop(stream)
+	engine.cancelStream(stream)
 	if engine.streams[stream.id] == stream {
 		delete(engine.streams, stream.id)
 	}
 }
 
-// stop cancels a stream if it still runs.
-func (engine *Engine) stop(stream *stream) {
+// cancelStream cancels a stream if it is still running.
+func (engine *Engine) cancelStream(stream *stream) {
 	if stream.state != streamRunning {
 		return
 	}
@@ -183,7 +187,8 @@
 	engine.wakeUp()
 }
 
-// crash loses everything and starts anew under another incarnation.
+// crash loses all calls and cached prefixes and restarts the engine under a new
+// incarnation.
 func (engine *Engine) crash() {
 	engine.stats.Crashes++
 	if engine.config.OnCrash != nil {
--- a/bvstandin/chat.go
+++ b/bvstandin/chat.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	maxBody = 64 << 20
-	// heartbeat is the time between two comments on a stream that has no
-	// token yet, so that a reader can tell a busy engine from a connection
-	// that went silent.
-	heartbeat = time.Second
+	maxBodyBytes = 64 << 20
+	// heartbeatInterval is the time between two comments on a stream that waits for
+	// its next token. They let a reader distinguish a busy engine from a silent
+	// connection.
+	heartbeatInterval = time.Second
 )
 
-// chatRequest is a request of the OpenAI API, as far as it is used.
+// chatRequest holds the fields of an OpenAI chat completion request that the engine uses.
 type chatRequest struct {
 	Model               string          `json:"model"`
 	Messages            json.RawMessage `json:"messages"`
@@ -34,7 +34,7 @@
 	} `json:"stream_options"`
 }
 
-// refusal is an answer to a request that was not run.
+// refusal is the error response to a request that was not run.
 type refusal struct {
 	status  int
 	code    string
@@ -50,7 +50,7 @@
 }
 
 func (engine *Engine) chat(writer http.ResponseWriter, request *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, maxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, maxBodyBytes))
 	if err != nil {
 		badRequest(writer, err)
 		return
@@ -73,10 +73,10 @@
 		return
 	}
 	if chat.Stream {
-		engine.relay(writer, request, stream, 0, chat.StreamOptions.IncludeUsage)
+		engine.serveStream(writer, request, stream, 0, chat.StreamOptions.IncludeUsage)
 		return
 	}
-	engine.answerWhole(writer, request, stream)
+	engine.serveCompletion(writer, request, stream)
 }
 
 func badRequest(writer http.ResponseWriter, err error) {
@@ -85,37 +85,37 @@
 
 func (engine *Engine) newStream(header http.Header, chat chatRequest, prompt prompt) *stream {
 	stream := &stream{
-		id:      header.Get(bvendpoint.HeaderStream),
-		key:     cacheKey{header.Get(bvendpoint.HeaderSalt), header.Get(bvendpoint.HeaderPrefix)},
-		prompt:  prompt,
-		total:   max(chat.MaxTokens, chat.MaxCompletionTokens),
-		finish:  "length",
-		changed: make(chan struct{}),
-		readers: 1,
-	}
-	stream.readings = 1
+		id:           header.Get(bvendpoint.HeaderStream),
+		key:          cacheKey{header.Get(bvendpoint.HeaderSalt), header.Get(bvendpoint.HeaderPrefix)},
+		prompt:       prompt,
+		totalTokens:  max(chat.MaxTokens, chat.MaxCompletionTokens),
+		finishReason: "length",
+		changed:      make(chan struct{}),
+		readers:      1,
+	}
+	stream.totalReaders = 1
 	stream.tag = tagOf(prompt.digest)
 	if engine.config.Vary {
 		stream.tag = rand.Text()[:4]
 	}
-	if stream.total <= 0 {
-		stream.total = max(engine.config.OutputTokens, 0)
-		stream.finish = "stop"
+	if stream.totalTokens <= 0 {
+		stream.totalTokens = max(engine.config.OutputTokens, 0)
+		stream.finishReason = "stop"
 	}
-	if stream.total == 0 {
-		stream.total = defaultOutputTokens
+	if stream.totalTokens == 0 {
+		stream.totalTokens = defaultOutputTokens
 	}
 	return stream
 }
 
-// accept starts a stream or says why not.
+// accept starts a stream, or returns why it is refused.
 func (engine *Engine) accept(stream *stream, model string, priority int) *refusal {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	if engine.leavingAt > 0 {
-		engine.stats.LastNewMS = int64(engine.clock.Now().Sub(engine.leavingAt))
+		engine.stats.LastNewCallMS = int64(engine.clock.Now().Sub(engine.leavingAt))
 	}
-	if refusal := engine.refuses(stream, model); refusal != nil {
+	if refusal := engine.checkRefusal(stream, model); refusal != nil {
 		engine.stats.Refused++
 		return refusal
 	}
@@ -126,7 +126,7 @@
 	return nil
 }
 
-func (engine *Engine) refuses(stream *stream, model string) *refusal {
+func (engine *Engine) checkRefusal(stream *stream, model string) *refusal {
 	if engine.config.Model != "" && model != engine.config.Model {
 		return &refusal{http.StatusNotFound, "model_not_found", "not run", "no model " + model + " here"}
 	}
@@ -148,15 +148,15 @@
 		badRequest(writer, errors.New("offset must be a number of tokens"))
 		return
 	}
-	stream := engine.reopen(request.PathValue("id"))
+	stream := engine.addReader(request.PathValue("id"))
 	if stream == nil {
 		writeError(writer, http.StatusNotFound, "unknown_stream", "may have run", "stream is not known")
 		return
 	}
-	engine.relay(writer, request, stream, offset, true)
+	engine.serveStream(writer, request, stream, offset, true)
 }
 
-func (engine *Engine) reopen(id string) *stream {
+func (engine *Engine) addReader(id string) *stream {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	stream := engine.streams[id]
@@ -165,7 +165,7 @@
 	}
 	engine.stats.Resumed++
 	stream.readers++
-	stream.readings++
+	stream.totalReaders++
 	return stream
 }
 
@@ -175,20 +175,21 @@
 	id := request.PathValue("id")
 	known := engine.streams[id]
 	if known == nil {
-		// The request may still be on its way over a slow connection: it must
-		// not start after its cancel was confirmed.
+		// The request may still arrive over a slow connection. It must not start
+		// after its cancellation was confirmed.
 		known = &stream{id: id, state: streamCanceled, changed: make(chan struct{})}
 		engine.streams[id] = known
-		engine.forgetLater(known)
+		engine.scheduleCancel(known)
 	}
-	engine.stop(known)
+	engine.cancelStream(known)
 	writeJSON(writer, http.StatusOK, struct {
 		State    string `json:"state"`
 		Produced int    `json:"produced"`
-	}{known.state.String(), known.produced})
+	}{known.state.String(), known.producedTokens})
 }
 
-// closeReader notes that a connection no longer reads the stream.
+// closeReader removes a reader from the stream. Without any reader, a stream that can't
+// be resumed is canceled at once and any other after the grace period.
 func (engine *Engine) closeReader(stream *stream) {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
@@ -197,44 +198,44 @@
 		return
 	}
 	if stream.id == "" {
-		engine.stop(stream)
+		engine.cancelStream(stream)
 		return
 	}
-	engine.forgetLater(stream)
+	engine.scheduleCancel(stream)
 }
 
-func (engine *Engine) forgetLater(stream *stream) {
+func (engine *Engine) scheduleCancel(stream *stream) {
 	grace := engine.config.Grace
 	if grace == 0 {
 		grace = defaultGrace
 	}
-	readings := stream.readings
-	time.AfterFunc(grace.Std(), func() { engine.abandon(stream, readings) })
+	totalReaders := stream.totalReaders
+	time.AfterFunc(grace.Std(), func() { engine.cancelUnread(stream, totalReaders) })
 }
 
-// view is what a reader sees of a stream at one moment.
+// view is a snapshot of a stream for one reader.
 type view struct {
-	state    streamState
-	produced int
-	cached   int
-	changed  <-chan struct{}
-	silent   bool
+	state          streamState
+	producedTokens int
+	cachedTokens   int
+	changed        <-chan struct{}
+	silent         bool
 }
 
 func (engine *Engine) view(stream *stream, remote string, sent int) view {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	first := stream.readings == 1
+	first := stream.totalReaders == 1
 	after := engine.faults.SilentAfter
 	if after > 0 && first && sent >= after {
-		engine.silent[remote] = true
+		engine.silentConnections[remote] = true
 	}
-	return view{stream.state, stream.produced, stream.cached, stream.changed, engine.silent[remote]}
+	return view{stream.state, stream.producedTokens, stream.cachedTokens, stream.changed, engine.silentConnections[remote]}
 }
 
-// relay sends a stream's tokens from an offset on, as server-sent events, and
-// its usage at the end if it is wanted.
-func (engine *Engine) relay(writer http.ResponseWriter, request *http.Request, stream *stream, offset int, usage bool) {
+// serveStream sends a stream's tokens from an offset on as server-sent events, followed
+// by the usage if requested.
+func (engine *Engine) serveStream(writer http.ResponseWriter, request *http.Request, stream *stream, offset int, usage bool) {
 	defer engine.closeReader(stream)
 	writer.Header().Set("Content-Type", "text/event-stream")
 	events := &eventWriter{writer: writer, stream: stream, usage: usage, flush: http.NewResponseController(writer)}
@@ -245,41 +246,42 @@
 			<-request.Context().Done()
 			return
 		}
-		offset = events.tokens(offset, view.produced, engine.silentAfter(stream))
-		if view.state != streamRunning && offset >= view.produced {
-			events.end(view)
+		offset = events.writeTokens(offset, view.producedTokens, engine.tokensBeforeSilence(stream))
+		if view.state != streamRunning && offset >= view.producedTokens {
+			events.writeEnd(view)
 			return
 		}
-		if engine.silentAt(stream, offset) {
+		if engine.isSilentAt(stream, offset) {
 			continue
 		}
-		if !events.wait(request, view.changed) {
+		if !events.waitForChange(request, view.changed) {
 			return
 		}
 	}
 }
 
-// silentAfter returns how many tokens the stream's connection may bring.
-func (engine *Engine) silentAfter(stream *stream) int {
+// tokensBeforeSilence returns how many tokens the stream's connection may carry.
+func (engine *Engine) tokensBeforeSilence(stream *stream) int {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	if engine.faults.SilentAfter > 0 && stream.readings == 1 {
+	if engine.faults.SilentAfter > 0 && stream.totalReaders == 1 {
 		return engine.faults.SilentAfter
 	}
-	return stream.total
+	return stream.totalTokens
 }
 
-func (engine *Engine) silentAt(stream *stream, offset int) bool {
-	return offset >= engine.silentAfter(stream) && offset < stream.total
+func (engine *Engine) isSilentAt(stream *stream, offset int) bool {
+	return offset >= engine.tokensBeforeSilence(stream) && offset < stream.totalTokens
 }
 
-// answerWhole answers in one piece when the stream is complete.
-func (engine *Engine) answerWhole(writer http.ResponseWriter, request *http.Request, stream *stream) {
+// serveCompletion waits until the stream is finished and sends the answer as one JSON
+// object.
+func (engine *Engine) serveCompletion(writer http.ResponseWriter, request *http.Request, stream *stream) {
 	defer engine.closeReader(stream)
 	for {
 		view := engine.view(stream, request.RemoteAddr, 0)
 		if view.state == streamFinished {
-			writeWhole(writer, stream, view)
+			writeCompletion(writer, stream, view)
 			return
 		}
 		if view.state != streamRunning {
@@ -306,14 +308,14 @@
 func usageOf(stream *stream, view view) chatUsage {
 	usage := chatUsage{
 		PromptTokens:     stream.prompt.tokens,
-		CompletionTokens: view.produced,
-		TotalTokens:      stream.prompt.tokens + view.produced,
+		CompletionTokens: view.producedTokens,
+		TotalTokens:      stream.prompt.tokens + view.producedTokens,
 	}
-	usage.PromptTokensDetails.CachedTokens = view.cached
+	usage.PromptTokensDetails.CachedTokens = view.cachedTokens
 	return usage
 }
 
-func writeWhole(writer http.ResponseWriter, stream *stream, view view) {
+func writeCompletion(writer http.ResponseWriter, stream *stream, view view) {
 	type message struct {
 		Role    string `json:"role"`
 		Content string `json:"content"`
@@ -323,7 +325,7 @@
 		Message      message `json:"message"`
 		FinishReason string  `json:"finish_reason"`
 	}
-	text := answerText(stream.prompt.digest, stream.tag, stream.total)
+	text := answerText(stream.prompt.digest, stream.tag, stream.totalTokens)
 	writeJSON(writer, http.StatusOK, struct {
 		ID      string    `json:"id"`
 		Object  string    `json:"object"`
@@ -332,12 +334,12 @@
 	}{
 		ID:      "chatcmpl-" + stream.prompt.digest,
 		Object:  "chat.completion",
-		Choices: []choice{{Message: message{"assistant", text}, FinishReason: stream.finish}},
+		Choices: []choice{{Message: message{"assistant", text}, FinishReason: stream.finishReason}},
 		Usage:   usageOf(stream, view),
 	})
 }
 
-// eventWriter writes server-sent events.
+// eventWriter writes a stream as server-sent events.
 type eventWriter struct {
 	writer http.ResponseWriter
 	stream *stream
@@ -354,8 +356,9 @@
 
 const chunkHead = `{"id":"chatcmpl-%s","object":"chat.completion.chunk","choices":[`
 
-// tokens writes the tokens from one offset to another, not beyond a limit.
-func (events *eventWriter) tokens(from, to, limit int) int {
+// writeTokens writes the tokens from one offset up to another, capped by limit, and
+// returns the next offset.
+func (events *eventWriter) writeTokens(from, to, limit int) int {
 	digest := events.stream.prompt.digest
 	to = min(to, limit)
 	for offset := from; offset < to; offset++ {
@@ -372,14 +375,14 @@
 	return max(from, to)
 }
 
-// end writes the end of a stream that finished, and breaks the connection of
-// any other.
-func (events *eventWriter) end(view view) {
+// writeEnd writes the end of a finished stream. For any other stream it aborts the
+// connection.
+func (events *eventWriter) writeEnd(view view) {
 	if view.state != streamFinished {
 		panic(http.ErrAbortHandler)
 	}
 	digest := events.stream.prompt.digest
-	_, _ = fmt.Fprintf(&events.buffer, "data: "+chunkHead+`{"index":0,"delta":{},"finish_reason":%q}]}`+"\n\n", digest, events.stream.finish)
+	_, _ = fmt.Fprintf(&events.buffer, "data: "+chunkHead+`{"index":0,"delta":{},"finish_reason":%q}]}`+"\n\n", digest, events.stream.finishReason)
 	if events.usage {
 		usage, _ := json.Marshal(usageOf(events.stream, view))
 		_, _ = fmt.Fprintf(&events.buffer, "data: "+chunkHead+`],"usage":%s}`+"\n\n", digest, usage)
@@ -388,10 +391,10 @@
 	events.flushNow()
 }
 
-// wait returns at the next change of the stream. It reports false when the
-// client is gone.
-func (events *eventWriter) wait(request *http.Request, changed <-chan struct{}) bool {
-	timer := time.NewTimer(heartbeat)
+// waitForChange waits for the next change of the stream, or sends a comment after
+// heartbeatInterval. It returns false if the client has disconnected.
+func (events *eventWriter) waitForChange(request *http.Request, changed <-chan struct{}) bool {
+	timer := time.NewTimer(heartbeatInterval)
 	defer timer.Stop()
 	for {
 		select {
--- a/bvstandin/control.go
+++ b/bvstandin/control.go
@@ -9,7 +9,7 @@
 	"balsamvalve.example/bvclock"
 )
 
-// loadReport is what an engine reports of its load.
+// loadReport is an engine's answer to GET /load.
 type loadReport struct {
 	Running      int    `json:"running"`
 	Waiting      int    `json:"waiting"`
@@ -17,11 +17,12 @@
 	CachedTokens int    `json:"cached_tokens"`
 	CacheTokens  int    `json:"cache_tokens"`
 	Incarnation  string `json:"incarnation"`
-	AgeMS        int64  `json:"age_ms"` // at least so old
+	AgeMS        int64  `json:"age_ms"` // minimum age of the report
 }
 
-// report notes the load for reports that lag. The engine's mutex is held.
-func (engine *Engine) report() {
+// recordLoad records the current load, from which lagged reports are served. The caller
+// holds the engine's mutex.
+func (engine *Engine) recordLoad() {
 	config := engine.model.Config()
 	engine.load.put("", loadReport{
 		Running:      engine.model.RunningCalls(),
@@ -38,7 +39,7 @@
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	if engine.config.LoadLag == 0 {
-		engine.report()
+		engine.recordLoad()
 	}
 	reports := engine.load.list(engine.config.LoadLag.Std())
 	if len(reports) == 0 {
@@ -63,25 +64,26 @@
 	now := engine.time.now(engine.clock.Now())
 	engine.model.EndProgram(now, key.salt, key.prefix)
 	engine.model.Release(now, key.salt, key.prefix)
-	engine.drop(key, "released", tokens)
+	engine.dropPrefix(key, "released", tokens)
 	writeJSON(writer, http.StatusOK, struct {
 		Released int `json:"released"`
 	}{tokens})
 }
 
-// CachedPrefix is what an engine holds for one program.
+// CachedPrefix is the prefix that an engine has cached for one program.
 type CachedPrefix struct {
 	Salt   string `json:"salt"`
 	Prefix string `json:"prefix"`
 	Tokens int    `json:"tokens"`
 }
 
-// Cache lists what the engine holds for programs that have no call running.
+// Cache returns the cached prefixes of programs without a running call, sorted by salt
+// and prefix.
 func (engine *Engine) Cache() []CachedPrefix {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	cached := []CachedPrefix{}
-	for key := range engine.held {
+	for key := range engine.cachedMessages {
 		if tokens := engine.model.CachedPrefixTokens(key.salt, key.prefix); tokens > 0 {
 			cached = append(cached, CachedPrefix{key.salt, key.prefix, tokens})
 		}
@@ -98,7 +100,7 @@
 	}{engine.Cache()})
 }
 
-// order is what an engine was last ordered to be.
+// order is the role, model and adapter that an engine was ordered to serve.
 type order struct {
 	Fence   int64  `json:"fence"`
 	Role    string `json:"role"`
@@ -106,9 +108,9 @@
 	Adapter string `json:"adapter"`
 }
 
-// takeOrder carries out an order. An engine with fencing refuses one whose
-// number is lower than one that it has seen; an engine without obeys.
-func (engine *Engine) takeOrder(writer http.ResponseWriter, request *http.Request) {
+// handleOrder applies an order. An engine with fencing refuses an order whose fencing
+// number is lower than that of its current order; an engine without fencing applies it.
+func (engine *Engine) handleOrder(writer http.ResponseWriter, request *http.Request) {
 	var order order
 	if !readJSON(writer, request, &order) {
 		return
@@ -139,12 +141,12 @@
 	writeJSON(writer, http.StatusOK, faults)
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the engine's faults.
 func (engine *Engine) SetFaults(faults EngineFaults) {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	engine.time.now(engine.clock.Now())
-	engine.time.slow = faults.Slow
+	engine.time.slowdown = faults.Slow
 	engine.faults = faults
 	if faults.Silent {
 		engine.silenceConnections()
@@ -154,17 +156,17 @@
 	}
 }
 
-// silenceConnections makes the connections that are in use go quiet.
+// silenceConnections makes the connections that are in use silent.
 func (engine *Engine) silenceConnections() {
 	for remote := range engine.connections {
-		engine.silent[remote] = true
+		engine.silentConnections[remote] = true
 	}
 	for _, stream := range engine.calls {
 		stream.notify()
 	}
 }
 
-// cacheEvent is a change of the cache, as the engine publishes it.
+// cacheEvent is a published change of the cache.
 type cacheEvent struct {
 	Sequence int64  `json:"sequence"`
 	Kind     string `json:"kind"`
@@ -176,14 +178,15 @@
 
 const maxEvents = 4096
 
-// eventLog keeps the last cache events.
+// eventLog holds the most recent cache events.
 type eventLog struct {
 	gap      int
 	sequence int64
 	events   []cacheEvent
 }
 
-// publish notes a cache event, or loses it. The engine's mutex is held.
+// publish appends a cache event to the log, or skips it if it falls into the configured
+// gap. The caller holds the engine's mutex.
 func (engine *Engine) publish(kind string, key cacheKey, tokens int) {
 	log := &engine.events
 	log.sequence++
--- a/bvstandin/digest.go
+++ b/bvstandin/digest.go
@@ -9,17 +9,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// bytesPerToken is the stand-in's whole tokenizer.
+// bytesPerToken stands in for a tokenizer: each token is this many bytes.
 const bytesPerToken = 4
 
-// Tokens returns how many tokens the stand-in counts for so many bytes of
-// canonical JSON.
+// Tokens returns the number of tokens that the stand-in counts for the given number of
+// bytes of canonical JSON.
 func Tokens(bytes int) int {
 	return (bytes + bytesPerToken - 1) / bytesPerToken
 }
 
-// Digest returns the digest of a JSON array of messages. It is the same for
-// the same messages, however their JSON is spaced and its fields are ordered.
+// Digest returns the digest of a JSON array of messages. It doesn't depend on the
+// whitespace or the order of the fields.
 func Digest(messages json.RawMessage) (string, error) {
 	prompt, err := parsePrompt(messages)
 	return prompt.digest, err
@@ -31,13 +31,14 @@
 	return "digest:" + digest
 }
 
-// AnswerText returns the whole text of an engine's answer of so many tokens.
+// AnswerText returns the text of an engine's complete answer with the given number of
+// tokens.
 func AnswerText(digest string, tokens int) string {
 	return answerText(digest, tagOf(digest), tokens)
 }
 
-// IsAnswer reports whether text is the whole answer of one run of an engine,
-// also of one that varies its answers.
+// IsAnswer reports whether text is the complete answer of a single run of an engine,
+// whether or not the engine varies its answers.
 func IsAnswer(text, digest string, tokens int) bool {
 	tag := tagOf(digest)
 	if _, rest, found := strings.Cut(text, " "); found {
@@ -46,8 +47,8 @@
 	return text == answerText(digest, tag, tokens)
 }
 
-// tagOf is what an engine puts into every token but the first, unless it
-// varies its answers.
+// tagOf returns the tag in every token but the first of an engine that doesn't vary its
+// answers.
 func tagOf(digest string) string {
 	return digest[:4]
 }
@@ -67,13 +68,13 @@
 	return fmt.Sprintf(" %s.%d", tag, offset)
 }
 
-// promptMessage is one message as far as the cache is concerned.
+// promptMessage identifies one message for the comparison with cached prefixes.
 type promptMessage struct {
 	hash   uint64
 	tokens int
 }
 
-// prompt is what an engine knows of the messages that it was sent.
+// prompt is the parsed list of messages of a request.
 type prompt struct {
 	digest   string
 	tokens   int
@@ -88,17 +89,17 @@
 		return prompt{}, fmt.Errorf("messages: %w", err)
 	}
 	var prompt prompt
-	whole := xxhash.New()
+	hash := xxhash.New()
 	for _, message := range parsed {
 		canonical, err := json.Marshal(message)
 		if err != nil {
 			return prompt, fmt.Errorf("messages: %w", err)
 		}
-		_, _ = whole.Write(canonical)
-		_, _ = whole.WriteString("\n")
+		_, _ = hash.Write(canonical)
+		_, _ = hash.WriteString("\n")
 		prompt.add(canonical)
 	}
-	prompt.digest = fmt.Sprintf("%016x", whole.Sum64())
+	prompt.digest = fmt.Sprintf("%016x", hash.Sum64())
 	return prompt, nil
 }
 
@@ -108,9 +109,9 @@
 	prompt.tokens += message.tokens
 }
 
-// shared returns how many tokens two lists of messages have in common at their
-// beginning.
-func shared(a, b []promptMessage) int {
+// commonPrefixTokens returns the number of tokens in the common prefix of two lists of
+// messages.
+func commonPrefixTokens(a, b []promptMessage) int {
 	tokens := 0
 	for i := range min(len(a), len(b)) {
 		if a[i] != b[i] {
@@ -121,7 +122,7 @@
 	return tokens
 }
 
-// answerMessage is what an answer adds to the history of its program.
+// answerMessage returns the message that an answer adds to the history of its program.
 func answerMessage(text string) promptMessage {
 	canonical, err := json.Marshal(struct {
 		Content string `json:"content"`
--- a/bvstandin/engine.go
+++ b/bvstandin/engine.go
@@ -12,107 +12,107 @@
 	"balsamvalve.example/bvplatform"
 )
 
-// PoisonMarker in the body of a request crashes the engine that starts it.
+// PoisonMarker in the body of a request crashes the engine that starts the request.
 const PoisonMarker = "bv-poison"
 
-// Values that a zero EngineConfig stands for.
+// Defaults of EngineConfig.
 const (
 	defaultOutputTokens = 32
 	defaultGrace        = 10 * bvclock.Second
 )
 
-// EngineConfig describes an engine. A zero field stands for its default.
+// EngineConfig configures an engine. A zero field means its default.
 type EngineConfig struct {
 	Name         string
-	Model        string // that it serves; empty: any
+	Model        string // served model; empty: any
 	Zone         string
 	Batch        bvmodel.Config
-	Instant      bool             // answers at once, without the model of batching
-	OutputTokens int              // of an answer whose length the caller doesn't set; 32
-	Vary         bool             // each run writes another text, as a model that samples does
-	MaxWaiting   int              // calls without a slot before it refuses; 0: unbounded
-	Fencing      bool             // refuses orders with an old fencing number
-	Grace        bvclock.Duration // how long a stream is kept without a reader; 10 s
-	LoadLag      bvclock.Duration // of GET /load
-	EventLag     bvclock.Duration // of GET /events
+	Instant      bool             // answers immediately, without simulating batching
+	OutputTokens int              // of an answer without a requested length; 32
+	Vary         bool             // each run returns a different text, like a model that samples
+	MaxWaiting   int              // waiting calls from which new calls are refused; 0: unbounded
+	Fencing      bool             // refuses orders with an outdated fencing number
+	Grace        bvclock.Duration // how long a stream without a reader is retained; 10 s
+	LoadLag      bvclock.Duration // age of the reports of GET /load
+	EventLag     bvclock.Duration // delay until an event appears in GET /events
 	EventGap     int              // every n-th cache event is never published; 0: none
-	OnCrash      func()           // instead of a restart inside the process
+	OnCrash      func()           // called first at a crash; may exit the process, otherwise the engine restarts inside it
 }
 
-// EngineFaults are the faults that an Engine shows; the zero value is none.
+// EngineFaults are the faults that an Engine simulates; the zero value is none.
 type EngineFaults struct {
 	Refuse      bool    `json:"refuse"`       // answers 503 to new calls and doesn't run them
-	Silent      bool    `json:"silent"`       // connections that are open now go quiet for good
-	SilentAfter int     `json:"silent_after"` // the first connection of each new stream goes quiet after so many tokens
-	Slow        float64 `json:"slow"`         // divides the speed; 0: 1
-	Crash       bool    `json:"crash"`        // crashes now
-	RestartMS   int64   `json:"restart_ms"`   // how long a crashed engine answers nothing
+	Silent      bool    `json:"silent"`       // connections in use now become permanently silent
+	SilentAfter int     `json:"silent_after"` // tokens after which the first connection of each stream becomes silent; 0: never
+	Slow        float64 `json:"slow"`         // factor by which the engine is slower; under 1: 1
+	Crash       bool    `json:"crash"`        // crash immediately
+	RestartMS   int64   `json:"restart_ms"`   // how long a crashed engine aborts all requests
 }
 
-// EngineStats counts what an Engine did.
+// EngineStats are the counters of an Engine.
 type EngineStats struct {
-	Calls        int    `json:"calls"` // that it accepted
-	Refused      int    `json:"refused"`
-	Canceled     int    `json:"canceled"`
-	Resumed      int    `json:"resumed"`
-	Crashes      int    `json:"crashes"`
-	Incarnation  string `json:"incarnation"`
-	LastNewMS    int64  `json:"last_new_ms"` // how long after it began to leave the last new call came
-	LeavingSince int64  `json:"leaving_for_ms"`
+	Calls         int    `json:"calls"` // accepted
+	Refused       int    `json:"refused"`
+	Canceled      int    `json:"canceled"`
+	Resumed       int    `json:"resumed"`
+	Crashes       int    `json:"crashes"`
+	Incarnation   string `json:"incarnation"`
+	LastNewCallMS int64  `json:"last_new_ms"` // time from Leave to the last new call
+	LeavingForMS  int64  `json:"leaving_for_ms"`
 }
 
-// Engine is a stand-in of a model engine: a bvmodel.Engine in real time behind
-// the OpenAI API. Make one with NewEngine.
+// Engine is a stand-in of a model engine: a bvmodel.Engine that runs in real time behind
+// the OpenAI API. Create one with NewEngine.
 type Engine struct {
 	config EngineConfig
 	clock  bvclock.Clock
 	mux    *http.ServeMux
 
-	mutex       sync.Mutex
-	incarnation string
-	model       *bvmodel.Engine
-	time        modelTime
-	running     bool // the loop runs
-	wake        chan struct{}
-	lastCall    bvmodel.CallID
-	calls       map[bvmodel.CallID]*stream // under way
-	streams     map[string]*stream         // by id, kept for a while after their end
-	held        map[cacheKey][]promptMessage
-	faults      EngineFaults
-	downUntil   bvclock.Time
-	connections map[string]int // requests under way, by remote address
-	silent      map[string]bool
-	leavingAt   bvclock.Time
-	stats       EngineStats
-	load        lagged[loadReport]
-	events      eventLog
-	order       order
+	mutex             sync.Mutex
+	incarnation       string
+	model             *bvmodel.Engine
+	time              modelTime
+	loopRunning       bool // runModel is running
+	wake              chan struct{}
+	lastCall          bvmodel.CallID
+	calls             map[bvmodel.CallID]*stream // in flight
+	streams           map[string]*stream         // by id, retained after their end
+	cachedMessages    map[cacheKey][]promptMessage
+	faults            EngineFaults
+	downUntil         bvclock.Time
+	connections       map[string]int // requests in flight, by remote address
+	silentConnections map[string]bool
+	leavingAt         bvclock.Time
+	stats             EngineStats
+	load              laggedList[loadReport]
+	events            eventLog
+	order             order
 }
 
 // NewEngine returns an idle engine.
 func NewEngine(config EngineConfig) *Engine {
 	engine := &Engine{
-		config:      config,
-		clock:       bvclock.Boot(),
-		wake:        make(chan struct{}, 1),
-		connections: make(map[string]int),
-		silent:      make(map[string]bool),
+		config:            config,
+		clock:             bvclock.Boot(),
+		wake:              make(chan struct{}, 1),
+		connections:       make(map[string]int),
+		silentConnections: make(map[string]bool),
 	}
-	engine.load.keep = config.LoadLag.Std() + time.Second
+	engine.load.retention = config.LoadLag.Std() + time.Second
 	engine.events.gap = config.EventGap
 	engine.reset()
 	engine.routes()
 	return engine
 }
 
-// reset gives the engine an empty memory and a new incarnation.
+// reset clears the engine's state and gives it a new incarnation.
 func (engine *Engine) reset() {
 	engine.incarnation = rand.Text()
 	engine.model = bvmodel.New(engine.config.Batch)
 	engine.time = modelTime{real: engine.clock.Now()}
 	engine.calls = make(map[bvmodel.CallID]*stream)
 	engine.streams = make(map[string]*stream)
-	engine.held = make(map[cacheKey][]promptMessage)
+	engine.cachedMessages = make(map[cacheKey][]promptMessage)
 	engine.order = order{}
 }
 
@@ -125,7 +125,7 @@
 	engine.mux.HandleFunc("GET /cache", engine.listCache)
 	engine.mux.HandleFunc("GET /load", engine.serveLoad)
 	engine.mux.HandleFunc("GET /events", engine.serveEvents)
-	engine.mux.HandleFunc("POST /orders", engine.takeOrder)
+	engine.mux.HandleFunc("POST /orders", engine.handleOrder)
 	engine.mux.HandleFunc("GET /orders", engine.serveOrder)
 }
 
@@ -139,9 +139,9 @@
 		writeJSON(writer, http.StatusOK, engine.Stats())
 		return
 	}
-	incarnation, dead := engine.enter(request.RemoteAddr)
-	defer engine.leave(request.RemoteAddr)
-	if dead {
+	incarnation, restarting := engine.beginRequest(request.RemoteAddr)
+	defer engine.endRequest(request.RemoteAddr)
+	if restarting {
 		panic(http.ErrAbortHandler)
 	}
 	if engine.isSilent(request.RemoteAddr) {
@@ -152,15 +152,16 @@
 	engine.mux.ServeHTTP(writer, request)
 }
 
-// enter notes the connection and tells whether the engine is restarting.
-func (engine *Engine) enter(remote string) (incarnation string, dead bool) {
+// beginRequest counts a request on its connection. It returns the incarnation and whether
+// the engine is restarting.
+func (engine *Engine) beginRequest(remote string) (incarnation string, restarting bool) {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	engine.connections[remote]++
 	return engine.incarnation, engine.clock.Now().Before(engine.downUntil)
 }
 
-func (engine *Engine) leave(remote string) {
+func (engine *Engine) endRequest(remote string) {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	engine.connections[remote]--
@@ -168,14 +169,14 @@
 		return
 	}
 	delete(engine.connections, remote)
-	// The number of the port comes back with another connection some time.
-	delete(engine.silent, remote)
+	// A later connection can reuse the port.
+	delete(engine.silentConnections, remote)
 }
 
 func (engine *Engine) isSilent(remote string) bool {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	return engine.silent[remote]
+	return engine.silentConnections[remote]
 }
 
 // Endpoint returns the engine's entry for the platform's list.
@@ -201,7 +202,7 @@
 	}
 }
 
-// Leave marks the engine as leaving. It goes on serving.
+// Leave marks the engine as leaving. It continues to serve requests.
 func (engine *Engine) Leave() {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
@@ -210,21 +211,21 @@
 	}
 }
 
-// Idle reports whether no call is under way.
-func (engine *Engine) Idle() bool {
+// IsIdle reports whether no call or other request is in flight.
+func (engine *Engine) IsIdle() bool {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	return len(engine.calls) == 0 && len(engine.connections) == 0
 }
 
-// Stats returns the counts so far.
+// Stats returns the current counters.
 func (engine *Engine) Stats() EngineStats {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	stats := engine.stats
 	stats.Incarnation = engine.incarnation
 	if engine.leavingAt > 0 {
-		stats.LeavingSince = int64(engine.clock.Now().Sub(engine.leavingAt))
+		stats.LeavingForMS = int64(engine.clock.Now().Sub(engine.leavingAt))
 	}
 	return stats
 }
--- a/bvstandin/engine_test.go
+++ b/bvstandin/engine_test.go
@@ -98,7 +98,7 @@
 	require.Equal(t, paced.chat(helloMessages, 5, nil), instant.chat(helloMessages, 5, nil))
 }
 
-// Guards against an answer that is made of two runs.
+// Guards against accepting an answer that is composed of two runs.
 func TestAnswerOfTwoRunsIsNoAnswer(t *testing.T) {
 	one, two := answerText("0123456789abcdef", "AAAA", 4), answerText("0123456789abcdef", "BBBB", 4)
 	mixture := one[:len(one)-len(" AAAA.3")] + " BBBB.3"
@@ -122,7 +122,7 @@
 	require.Positive(t, second.Usage.PromptTokensDetails.CachedTokens)
 }
 
-// Guards against a cache that is found under another member's salt.
+// Guards against cache hits under another member's salt.
 func TestOtherSaltFindsNothingCached(t *testing.T) {
 	engine := newEngineServer(t, EngineConfig{})
 	first := engine.chat(helloMessages, 5, programHeader("piran", "p1"))
@@ -185,7 +185,7 @@
 	require.Contains(t, string(content), `"verdict":"not run"`)
 }
 
-// Guards against a stand-in that crashes for one request only.
+// Guards against a stand-in whose crash affects only the poison request.
 func TestPoisonTakesTheWholeEngineDown(t *testing.T) {
 	engine := newEngineServer(t, EngineConfig{Batch: bvmodel.Config{DecodeTokensPerSecond: 20}})
 	before := engine.Endpoint("").Incarnation
@@ -216,19 +216,19 @@
 	require.Zero(t, engine.Stats().Calls)
 }
 
-// Guards against an engine that goes on for ever without a reader.
+// Guards against an engine that generates indefinitely for a stream without a reader.
 func TestStreamWithoutReaderIsCanceledAfterAWhile(t *testing.T) {
 	engine := newEngineServer(t, EngineConfig{Batch: bvmodel.Config{DecodeTokensPerSecond: 20}, Grace: 20 * bvclock.Millisecond})
 	response := engine.send(http.MethodPost, "/v1/chat/completions",
 		`{"model":"m","messages":[],"max_tokens":100000,"stream":true}`, http.Header{bvendpoint.HeaderStream: {"s1"}})
 	require.NoError(t, response.Body.Close())
-	require.Eventually(t, func() bool { return engine.Idle() && engine.Stats().Canceled == 1 }, 10*time.Second, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return engine.IsIdle() && engine.Stats().Canceled == 1 }, 10*time.Second, 5*time.Millisecond)
 }
 
 func TestSlowEngineIsSlowerInItsOwnTime(t *testing.T) {
-	clock := modelTime{slow: 4}
+	clock := modelTime{slowdown: 4}
 	require.Equal(t, bvclock.Time(25), clock.now(100))
-	clock.slow = 0
+	clock.slowdown = 0
 	require.Equal(t, bvclock.Time(125), clock.now(200))
 }
 
--- a/bvstandin/http.go
+++ b/bvstandin/http.go
@@ -29,7 +29,7 @@
 	writeJSON(writer, http.StatusOK, value)
 }
 
-// sleep reports false when ctx ended first.
+// sleep returns false if ctx is done before the time is over.
 func sleep(ctx context.Context, milliseconds int64) bool {
 	if milliseconds <= 0 {
 		return true
--- a/bvstandin/lagged.go
+++ b/bvstandin/lagged.go
@@ -8,62 +8,62 @@
 	"time"
 )
 
-// keepAnnouncements is how far back a list can lag by default.
-const keepAnnouncements = 2 * time.Minute
+// defaultRetention is the maximum lag of a list that doesn't set its own.
+const defaultRetention = 2 * time.Minute
 
-// announcement is what a list was told of an entry at one moment.
+// announcement is one update of an entry of a list.
 type announcement[T any] struct {
 	at      time.Time
 	value   T
-	lapse   time.Duration // 0: stays until it is removed
+	ttl     time.Duration // 0: doesn't expire
 	removed bool
 }
 
-// lagged is a list that can be read as it stood some time ago. The zero value
-// is empty and ready for use by many goroutines.
-type lagged[T any] struct {
-	keep    time.Duration // how far back it can lag; 0: keepAnnouncements
-	mutex   sync.Mutex
-	entries map[string][]announcement[T]
+// laggedList is a list that can be read in a past state. The zero value is an empty list.
+// It is safe for concurrent use.
+type laggedList[T any] struct {
+	retention time.Duration // maximum lag; 0: defaultRetention
+	mutex     sync.Mutex
+	entries   map[string][]announcement[T]
 }
 
-func (lagged *lagged[T]) put(name string, value T, lapse time.Duration) {
-	lagged.add(name, announcement[T]{at: time.Now(), value: value, lapse: lapse})
+func (laggedList *laggedList[T]) put(name string, value T, ttl time.Duration) {
+	laggedList.add(name, announcement[T]{at: time.Now(), value: value, ttl: ttl})
 }
 
-func (lagged *lagged[T]) remove(name string) {
-	lagged.add(name, announcement[T]{at: time.Now(), removed: true})
+func (laggedList *laggedList[T]) remove(name string) {
+	laggedList.add(name, announcement[T]{at: time.Now(), removed: true})
 }
 
-func (lagged *lagged[T]) add(name string, added announcement[T]) {
-	lagged.mutex.Lock()
-	defer lagged.mutex.Unlock()
-	if lagged.entries == nil {
-		lagged.entries = make(map[string][]announcement[T])
+func (laggedList *laggedList[T]) add(name string, added announcement[T]) {
+	laggedList.mutex.Lock()
+	defer laggedList.mutex.Unlock()
+	if laggedList.entries == nil {
+		laggedList.entries = make(map[string][]announcement[T])
 	}
-	kept := lagged.entries[name]
-	keep := cmp.Or(lagged.keep, keepAnnouncements)
-	for len(kept) > 1 && added.at.Sub(kept[1].at) > keep {
-		kept = kept[1:]
+	recent := laggedList.entries[name]
+	retention := cmp.Or(laggedList.retention, defaultRetention)
+	for len(recent) > 1 && added.at.Sub(recent[1].at) > retention {
+		recent = recent[1:]
 	}
-	lagged.entries[name] = append(kept, added)
+	laggedList.entries[name] = append(recent, added)
 }
 
-// list returns the entries as they stood lag ago, in the order of their names.
-func (lagged *lagged[T]) list(lag time.Duration) []T {
-	lagged.mutex.Lock()
-	defer lagged.mutex.Unlock()
+// list returns the entries that were valid lag ago, sorted by name.
+func (laggedList *laggedList[T]) list(lag time.Duration) []T {
+	laggedList.mutex.Lock()
+	defer laggedList.mutex.Unlock()
 	moment := time.Now().Add(-lag)
 	values := []T{}
-	for _, name := range slices.Sorted(maps.Keys(lagged.entries)) {
-		if last, found := lastBefore(lagged.entries[name], moment); found && last.stands(moment) {
+	for _, name := range slices.Sorted(maps.Keys(laggedList.entries)) {
+		if last, found := latestAt(laggedList.entries[name], moment); found && last.isValidAt(moment) {
 			values = append(values, last.value)
 		}
 	}
 	return values
 }
 
-func lastBefore[T any](announcements []announcement[T], moment time.Time) (announcement[T], bool) {
+func latestAt[T any](announcements []announcement[T], moment time.Time) (announcement[T], bool) {
 	for _, announcement := range slices.Backward(announcements) {
 		if !announcement.at.After(moment) {
 			return announcement, true
@@ -72,9 +72,9 @@
 	return announcement[T]{}, false
 }
 
-func (announcement announcement[T]) stands(moment time.Time) bool {
+func (announcement announcement[T]) isValidAt(moment time.Time) bool {
 	if announcement.removed {
 		return false
 	}
-	return announcement.lapse == 0 || moment.Sub(announcement.at) <= announcement.lapse
+	return announcement.ttl == 0 || moment.Sub(announcement.at) <= announcement.ttl
 }
--- a/bvstandin/platform.go
+++ b/bvstandin/platform.go
@@ -12,45 +12,45 @@
 	"balsamvalve.example/bvplatform"
 )
 
-// hostLapse is how long an announced host stays on the list.
-const hostLapse = 3 * time.Second
+// hostTTL is the time after which a host that was not announced again expires.
+const hostTTL = 3 * time.Second
 
-// PlatformFaults are the faults that a Platform shows; the zero value is none.
+// PlatformFaults are the faults that a Platform simulates; the zero value is none.
 type PlatformFaults struct {
-	Down        bool  `json:"down"`         // answers 503 and does nothing
-	DelayMS     int64 `json:"delay_ms"`     // before each call is carried out
-	LoseAnswers int   `json:"lose_answers"` // every n-th commit's answer, after it took effect; 0: none
-	ListLagMS   int64 `json:"list_lag_ms"`  // of the lists of hosts and endpoints
-	LateMS      int64 `json:"late_ms"`      // each commit takes effect this late, even if its caller has gone
+	Down        bool  `json:"down"`         // answers 503 to all calls and doesn't run them
+	DelayMS     int64 `json:"delay_ms"`     // delay before each call runs
+	LoseAnswers int   `json:"lose_answers"` // drops the answer of every n-th commit after it took effect; 0: none
+	ListLagMS   int64 `json:"list_lag_ms"`  // lag of the lists of hosts and endpoints
+	LateMS      int64 `json:"late_ms"`      // delay before each commit takes effect, even if its caller has disconnected
 }
 
 // Platform is a stand-in of the platform's service. The zero value is an
 // empty platform without faults.
 type Platform struct {
-	memory bvplatform.Memory
-	hosts  lagged[bvplatform.Host]
-	ends   lagged[bvplatform.Endpoint]
+	memory    bvplatform.Memory
+	hosts     laggedList[bvplatform.Host]
+	endpoints laggedList[bvplatform.Endpoint]
 
-	mutex   sync.Mutex
-	faults  PlatformFaults
-	commits int
-	lost    int
+	mutex       sync.Mutex
+	faults      PlatformFaults
+	commits     int
+	lostAnswers int
 
 	once sync.Once
 	mux  *http.ServeMux
 }
 
-// Memory returns the tables behind the HTTP protocol.
+// Memory returns the storage behind the HTTP protocol.
 func (platform *Platform) Memory() *bvplatform.Memory { return &platform.memory }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the platform's faults.
 func (platform *Platform) SetFaults(faults PlatformFaults) {
 	platform.mutex.Lock()
 	defer platform.mutex.Unlock()
 	platform.faults = faults
 }
 
-// Faults returns the faults that are set.
+// Faults returns the current faults.
 func (platform *Platform) Faults() PlatformFaults {
 	platform.mutex.Lock()
 	defer platform.mutex.Unlock()
@@ -66,24 +66,24 @@
 func (platform *Platform) routes() {
 	platform.mux = http.NewServeMux()
 	platform.mux.HandleFunc("POST /faults", platform.setFaults)
-	platform.mux.HandleFunc("GET /counts", platform.counts)
-	platform.serve("POST /table/commit", platform.commit)
+	platform.mux.HandleFunc("GET /counts", platform.serveCounts)
+	platform.addRoute("POST /table/commit", platform.commit)
 	store := bvplatform.NewHandler(&platform.memory)
-	platform.serve("POST /table/read", store.ServeHTTP)
-	platform.serve("POST /table/scan", store.ServeHTTP)
-	platform.serve("PUT /objects/{name}", platform.putObject)
-	platform.serve("GET /objects/{name}", platform.object)
-	platform.serve("DELETE /objects/{name}", platform.deleteObject)
-	platform.serve("GET /hosts", platform.listHosts)
-	platform.serve("PUT /hosts/{name}", platform.announce)
-	platform.serve("DELETE /hosts/{name}", platform.removeHost)
-	platform.serve("GET /endpoints", platform.listEndpoints)
-	platform.serve("PUT /endpoints/{name}", platform.putEndpoint)
-	platform.serve("DELETE /endpoints/{name}", platform.removeEndpoint)
-}
-
-// serve adds a route that outages and delays hold back.
-func (platform *Platform) serve(pattern string, handler http.HandlerFunc) {
+	platform.addRoute("POST /table/read", store.ServeHTTP)
+	platform.addRoute("POST /table/scan", store.ServeHTTP)
+	platform.addRoute("PUT /objects/{name}", platform.putObject)
+	platform.addRoute("GET /objects/{name}", platform.getObject)
+	platform.addRoute("DELETE /objects/{name}", platform.deleteObject)
+	platform.addRoute("GET /hosts", platform.listHosts)
+	platform.addRoute("PUT /hosts/{name}", platform.putHost)
+	platform.addRoute("DELETE /hosts/{name}", platform.removeHost)
+	platform.addRoute("GET /endpoints", platform.listEndpoints)
+	platform.addRoute("PUT /endpoints/{name}", platform.putEndpoint)
+	platform.addRoute("DELETE /endpoints/{name}", platform.removeEndpoint)
+}
+
+// addRoute adds a route that is subject to the faults Down and DelayMS.
+func (platform *Platform) addRoute(pattern string, handler http.HandlerFunc) {
 	platform.mux.HandleFunc(pattern, func(writer http.ResponseWriter, request *http.Request) {
 		faults := platform.Faults()
 		if faults.Down {
@@ -106,16 +106,16 @@
 	writeJSON(writer, http.StatusOK, faults)
 }
 
-func (platform *Platform) counts(writer http.ResponseWriter, _ *http.Request) {
+func (platform *Platform) serveCounts(writer http.ResponseWriter, _ *http.Request) {
 	writes, reads := platform.memory.Counts()
 	platform.mutex.Lock()
-	lost := platform.lost
+	lostAnswers := platform.lostAnswers
 	platform.mutex.Unlock()
 	writeJSON(writer, http.StatusOK, struct {
 		Writes int64 `json:"writes"`
 		Reads  int64 `json:"reads"`
 		Lost   int   `json:"lost_answers"`
-	}{writes, reads, lost})
+	}{writes, reads, lostAnswers})
 }
 
 func (platform *Platform) commit(writer http.ResponseWriter, request *http.Request) {
@@ -123,24 +123,24 @@
 	if !readJSON(writer, request, &transaction) {
 		return
 	}
-	// The pause doesn't end with the request: a late commit takes effect
-	// although its caller has timed out.
+	// The delay doesn't end with the request: a late commit takes effect even if its
+	// caller has timed out.
 	sleep(context.WithoutCancel(request.Context()), platform.Faults().LateMS)
 	version, err := platform.memory.Commit(request.Context(), transaction)
-	if platform.losesAnswer() {
+	if platform.shouldLoseAnswer() {
 		panic(http.ErrAbortHandler)
 	}
 	bvplatform.WriteAnswer(writer, struct{ Version int64 }{version}, err)
 }
 
-func (platform *Platform) losesAnswer() bool {
+func (platform *Platform) shouldLoseAnswer() bool {
 	platform.mutex.Lock()
 	defer platform.mutex.Unlock()
 	platform.commits++
 	if platform.faults.LoseAnswers == 0 || platform.commits%platform.faults.LoseAnswers != 0 {
 		return false
 	}
-	platform.lost++
+	platform.lostAnswers++
 	return true
 }
 
@@ -154,7 +154,7 @@
 	writeResult(writer, struct{}{}, err)
 }
 
-func (platform *Platform) object(writer http.ResponseWriter, request *http.Request) {
+func (platform *Platform) getObject(writer http.ResponseWriter, request *http.Request) {
 	content, err := platform.memory.Object(request.Context(), request.PathValue("name"))
 	if errors.Is(err, bvplatform.ErrNotFound) {
 		http.Error(writer, err.Error(), http.StatusNotFound)
@@ -173,12 +173,12 @@
 	writeJSON(writer, http.StatusOK, struct{ Hosts []bvplatform.Host }{hosts})
 }
 
-func (platform *Platform) announce(writer http.ResponseWriter, request *http.Request) {
+func (platform *Platform) putHost(writer http.ResponseWriter, request *http.Request) {
 	var host bvplatform.Host
 	if !readJSON(writer, request, &host) {
 		return
 	}
-	platform.hosts.put(request.PathValue("name"), host, hostLapse)
+	platform.hosts.put(request.PathValue("name"), host, hostTTL)
 	writeJSON(writer, http.StatusOK, struct{}{})
 }
 
@@ -188,7 +188,7 @@
 }
 
 func (platform *Platform) listEndpoints(writer http.ResponseWriter, _ *http.Request) {
-	endpoints := platform.ends.list(platform.listLag())
+	endpoints := platform.endpoints.list(platform.listLag())
 	writeJSON(writer, http.StatusOK, struct{ Endpoints []bvplatform.Endpoint }{endpoints})
 }
 
@@ -197,13 +197,13 @@
 	if !readJSON(writer, request, &endpoint) {
 		return
 	}
-	lapse, _ := strconv.ParseInt(request.URL.Query().Get("lapse_ms"), 10, 64)
-	platform.ends.put(request.PathValue("name"), endpoint, time.Duration(lapse)*time.Millisecond)
+	ttlMS, _ := strconv.ParseInt(request.URL.Query().Get("lapse_ms"), 10, 64)
+	platform.endpoints.put(request.PathValue("name"), endpoint, time.Duration(ttlMS)*time.Millisecond)
 	writeJSON(writer, http.StatusOK, struct{}{})
 }
 
 func (platform *Platform) removeEndpoint(writer http.ResponseWriter, request *http.Request) {
-	platform.ends.remove(request.PathValue("name"))
+	platform.endpoints.remove(request.PathValue("name"))
 	writeJSON(writer, http.StatusOK, struct{}{})
 }
 
--- a/bvstandin/service.go
+++ b/bvstandin/service.go
@@ -14,18 +14,18 @@
 	"balsamvalve.example/bvplatform"
 )
 
-// RequestHeader carries the caller's id of a request to a service.
+// RequestHeader is the header with the id that the caller gave a request to a service.
 const RequestHeader = "Bv-Request"
 
-// serviceSlots is how many calls a service says that it takes at once.
+// serviceSlots is the number of concurrent calls that a service announces.
 const serviceSlots = 64
 
-// ServiceFaults are the faults that a Service shows; the zero value is none.
+// ServiceFaults are the faults that a Service simulates; the zero value is none.
 type ServiceFaults struct {
-	DelayMS    int64 `json:"delay_ms"`    // before each call runs
+	DelayMS    int64 `json:"delay_ms"`    // delay before each call runs
 	Hang       bool  `json:"hang"`        // calls run but are never answered
 	FailBefore bool  `json:"fail_before"` // calls answer 503 and don't run
-	FailAfter  bool  `json:"fail_after"`  // calls run and their connection breaks
+	FailAfter  bool  `json:"fail_after"`  // calls run, then their connection is aborted
 }
 
 // ServiceAnswer is the answer of a Service.
@@ -34,12 +34,12 @@
 	Path    string `json:"path"`
 	Request string `json:"request"`
 	Digest  string `json:"digest"` // of the body
-	Run     int    `json:"run"`    // how often the request has run, this time included
+	Run     int    `json:"run"`    // number of runs of the request, including this one
 }
 
 // Service is a stand-in of a plain service. The zero value is ready to use.
 type Service struct {
-	Name    string // of the endpoint
+	Name    string // name of the endpoint
 	Serves  string // name of the service
 	Zone    string
 	Fencing bool
@@ -47,7 +47,7 @@
 	mutex       sync.Mutex
 	incarnation string
 	leaving     bool
-	calls       int // under way
+	calls       int // in flight
 	faults      ServiceFaults
 	runs        map[string]int
 	total       int
@@ -77,28 +77,28 @@
 	}
 }
 
-// Leave marks the service as leaving. It goes on serving.
+// Leave marks the service as leaving. It continues to serve requests.
 func (service *Service) Leave() {
 	service.mutex.Lock()
 	defer service.mutex.Unlock()
 	service.leaving = true
 }
 
-// Idle reports whether no call is under way.
-func (service *Service) Idle() bool {
+// IsIdle reports whether no call is in flight.
+func (service *Service) IsIdle() bool {
 	service.mutex.Lock()
 	defer service.mutex.Unlock()
 	return service.calls == 0
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the service's faults.
 func (service *Service) SetFaults(faults ServiceFaults) {
 	service.mutex.Lock()
 	defer service.mutex.Unlock()
 	service.faults = faults
 }
 
-// Runs returns how often the request ran.
+// Runs returns the number of runs of the request.
 func (service *Service) Runs(request string) int {
 	service.mutex.Lock()
 	defer service.mutex.Unlock()
@@ -143,8 +143,8 @@
 		http.Error(writer, err.Error(), http.StatusBadRequest)
 		return
 	}
-	faults := service.enter()
-	defer service.leave()
+	faults := service.beginCall()
+	defer service.endCall()
 	if faults.FailBefore {
 		writeError(writer, http.StatusServiceUnavailable, "overloaded", "not run", "service refuses calls")
 		return
@@ -152,7 +152,7 @@
 	if !sleep(request.Context(), faults.DelayMS) {
 		return
 	}
-	run := service.count(request.Header.Get(RequestHeader))
+	run := service.countRun(request.Header.Get(RequestHeader))
 	if faults.Hang {
 		<-request.Context().Done()
 		return
@@ -169,20 +169,20 @@
 	})
 }
 
-func (service *Service) enter() ServiceFaults {
+func (service *Service) beginCall() ServiceFaults {
 	service.mutex.Lock()
 	defer service.mutex.Unlock()
 	service.calls++
 	return service.faults
 }
 
-func (service *Service) leave() {
+func (service *Service) endCall() {
 	service.mutex.Lock()
 	defer service.mutex.Unlock()
 	service.calls--
 }
 
-func (service *Service) count(request string) int {
+func (service *Service) countRun(request string) int {
 	service.mutex.Lock()
 	defer service.mutex.Unlock()
 	if service.runs == nil {
@@ -193,12 +193,12 @@
 	return service.runs[request]
 }
 
-// BodyDigest returns the digest that a Service gives for a body.
+// BodyDigest returns the digest of a body, as in ServiceAnswer.
 func BodyDigest(body []byte) string {
 	return fmt.Sprintf("%016x", xxhash.Sum64(body))
 }
 
-// writeError answers in the shape of the OpenAI API, with a verdict besides.
+// writeError writes an error in the format of the OpenAI API, with an added verdict.
 func writeError(writer http.ResponseWriter, status int, code, verdict, message string) {
 	var body struct {
 		Error struct {
--- a/bvstandin/standin.go
+++ b/bvstandin/standin.go
@@ -1,9 +1,9 @@
-// Package bvstandin holds small stand-ins of what lies around the daemons:
-// the platform, a model engine and a plain service. Each is an http.Handler,
-// so a test runs it in its own process, or embedded, or on a test server.
+// Package bvstandin provides small stand-ins of the systems around the daemons: the
+// platform, a model engine and a plain service. Each is an http.Handler, so a test can
+// run it as a separate process, embedded, or on a test server.
 //
-// The stand-ins carry only what a decision or a test uses. Their faults are
-// set by a method, or by POST /faults with the same fields as JSON.
+// The stand-ins implement only what a decision or a test uses. Faults are set with
+// SetFaults, or with POST /faults and the same fields as JSON.
 //
 // # Usage
 //
--- a/bvstandin/stream.go
+++ b/bvstandin/stream.go
@@ -6,7 +6,7 @@
 
 //go:generate stringer -type=streamState -linecomment -output=streamstate_string.go
 
-// streamState is how far a stream has come.
+// streamState is the state of a stream.
 type streamState int
 
 const (
@@ -16,26 +16,26 @@
 	streamLost                        // lost
 )
 
-// cacheKey names a cached prefix.
+// cacheKey identifies a cached prefix.
 type cacheKey struct{ salt, prefix string }
 
 // stream is one call of an engine. The engine's mutex guards it.
 type stream struct {
-	id       string // chosen by the client; empty: it can't be resumed
-	call     bvmodel.CallID
-	key      cacheKey
-	prompt   prompt
-	tag      string // in every token but the first
-	total    int    // tokens of the whole answer
-	finish   string
-	poisoned bool
-
-	state    streamState
-	produced int
-	cached   int
-	readers  int
-	readings int           // connections that have read the stream so far
-	changed  chan struct{} // closed at the next change
+	id           string // chosen by the client; empty: it can't be resumed
+	call         bvmodel.CallID
+	key          cacheKey
+	prompt       prompt
+	tag          string // in every token but the first
+	totalTokens  int    // tokens of the complete answer
+	finishReason string
+	poisoned     bool
+
+	state          streamState
+	producedTokens int
+	cachedTokens   int
+	readers        int
+	totalReaders   int           // readers since the start
+	changed        chan struct{} // closed at the next change
 }
 
 // notify wakes the readers.
@@ -45,10 +45,10 @@
 }
 
 func (stream *stream) produce(tokens int) {
-	if tokens <= stream.produced {
+	if tokens <= stream.producedTokens {
 		return
 	}
-	stream.produced = min(tokens, stream.total)
+	stream.producedTokens = min(tokens, stream.totalTokens)
 	stream.notify()
 }
 
@@ -58,5 +58,5 @@
 }
 
 func (stream *stream) text() string {
-	return answerText(stream.prompt.digest, stream.tag, stream.produced)
+	return answerText(stream.prompt.digest, stream.tag, stream.producedTokens)
 }
