--- a/bvcommand/completion_test.go
+++ b/bvcommand/completion_test.go
@@ -16,7 +16,7 @@
 	}
 }
 
-func TestEachCommandHasExamplesThatItUnderstands(t *testing.T) {
+func TestEachCommandHasValidExamples(t *testing.T) {
 	eachCommand(newRoot(), func(command *cobra.Command) {
 		require.NotEmpty(t, command.Example, command.CommandPath())
 		text := strings.ReplaceAll(command.Example, "\\\n", " ")
--- a/bvcommand/fleet_test.go
+++ b/bvcommand/fleet_test.go
@@ -18,20 +18,20 @@
 	require.Contains(t, lines[5], "in time")
 }
 
-func requireMisuse(t *testing.T, options fleetOptions) {
+func requireUsageError(t *testing.T, options fleetOptions) {
 	var out strings.Builder
 	require.ErrorAs(t, options.run(&out), &usageError{})
 	require.Empty(t, out.String())
 }
 
 func TestFleetNeedsAHostInEachZone(t *testing.T) {
-	requireMisuse(t, fleetOptions{hosts: 5, seeds: 1, surgeFactor: 1})
+	requireUsageError(t, fleetOptions{hosts: 5, seeds: 1, surgeFactor: 1})
 }
 
 func TestFleetNeedsAPositiveSurgeFactor(t *testing.T) {
-	requireMisuse(t, fleetOptions{hosts: 12, seeds: 1})
+	requireUsageError(t, fleetOptions{hosts: 12, seeds: 1})
 }
 
 func TestFleetNamesUnknownMechanisms(t *testing.T) {
-	requireMisuse(t, fleetOptions{hosts: 12, seeds: 1, surgeFactor: 1, disabled: "sense"})
+	requireUsageError(t, fleetOptions{hosts: 12, seeds: 1, surgeFactor: 1, disabled: "sense"})
 }
--- a/bvcommand/table.go
+++ b/bvcommand/table.go
@@ -32,8 +32,8 @@
 		Short: "Read and edit the operators' table",
 		Long: `Read and edit the operators' table: a row per member or class of programs, with
 share, priority and limits. Any host can be queried. An edit is applied
-completely or not at all; the command then waits until all live hosts have it in force, and names
-those that haven't confirmed within 3.5 s.
+completely or not at all; the command then waits until all live hosts have it in
+force, and names those that haven't confirmed within 3.5 s.
 
 The key comes from BALSAMVALVE_KEY or from the file of --key-file, never from an
 argument. Operators see and edit their own member's rows, and see the others'
@@ -96,8 +96,8 @@
 		Short: "Change cells of a row, all or none",
 		Long: `Change cells of a row, all or none. A row is added for a class that has none.
 The change fails if a cell has changed since the command read it; --force
-overwrites it in any case. Columns: priority, rate, concurrency, budget, turns, idle, models,
-services. A share changes by "table propose" only.`,
+overwrites it in any case. Columns: priority, rate, concurrency, budget, turns,
+idle, models, services. A share changes by "table propose" only.`,
 		Example: `  balsamvalve table set piran budget=5000 idle=15m
   balsamvalve table set brindley/quote priority=9 "models=small large"
   balsamvalve table set brindley/trial --remove`,
--- a/bvcommand/table_test.go
+++ b/bvcommand/table_test.go
@@ -89,7 +89,7 @@
 }
 
 // Guards against an operator who sees the classes and budgets of another member.
-func TestOperatorSeesNoRivalsLimits(t *testing.T) {
+func TestOperatorSeesNoLimitsOfOtherMembers(t *testing.T) {
 	startOperators(t)
 	t.Setenv(keyEnvironment, "brindley-operator-key")
 	requireSuccess(t, "table", "set", "brindley/quote", "budget=4711")
@@ -113,7 +113,7 @@
 	require.Contains(t, requireSuccess(t, "table", "get", "brindley"), "45")
 }
 
-func TestCallersKeyOpensNoTable(t *testing.T) {
+func TestCallerKeyHasNoAccessToTheTable(t *testing.T) {
 	startOperators(t)
 	t.Setenv(keyEnvironment, "piran-caller-key")
 	code, _, stderr := run("table", "get")
@@ -121,7 +121,7 @@
 	require.Contains(t, stderr, "forbidden")
 }
 
-func TestTableWithoutAKeyIsAMistakeOfUse(t *testing.T) {
+func TestTableWithoutAKeyIsAUsageError(t *testing.T) {
 	t.Setenv(keyEnvironment, "")
 	code, _, stderr := run("table", "get")
 	require.Equal(t, exitUsage, code)
--- a/bvexplain/explain_test.go
+++ b/bvexplain/explain_test.go
@@ -34,16 +34,16 @@
 	account := read(t, Options{}, "12.5 host-a "+answered)
 	row := account.routes["talk"]
 	require.Equal(t, 1, row.answered)
-	require.InDelta(t, 3, row.here.value(), 0)
-	require.InDelta(t, 27, row.endpoint.value(), 0)
+	require.InDelta(t, 3, row.localWait.value(), 0)
+	require.InDelta(t, 27, row.endpointWait.value(), 0)
 	require.InDelta(t, 261, row.events.value(), 0)
-	require.InDelta(t, 9, row.persist.value(), 0)
+	require.InDelta(t, 9, row.persistTime.value(), 0)
 	require.Equal(t, 1000, row.uncachedTokens)
 	require.Contains(t, account.hosts, "host-a")
 	require.Contains(t, account.seconds, fmt.Sprintf("%8.0f", 12.0))
 }
 
-func TestTimeOfALineWithoutACollectorsIsItsOwn(t *testing.T) {
+func TestTimeFieldIsUsedWithoutACollectorsTime(t *testing.T) {
 	account := read(t, Options{From: 1769418041, To: 1769418042}, answered, refused)
 	require.Equal(t, 0, account.routes["talk"].answered)
 	require.Equal(t, 1, account.routes["talk"].refused)
--- a/bvexplain/print.go
+++ b/bvexplain/print.go
@@ -61,7 +61,7 @@
 		}
 		printer.line("%-20s %8d %7d %7d %7d %7d %6.0f %8.0f %7.0f %6.0f %6.0f", name,
 			row.answered, row.refused, row.failed, row.duration.quantile(0.5), row.duration.quantile(0.95),
-			row.here.value(), row.endpoint.value(), row.events.value(), row.persist.value(), read)
+			row.localWait.value(), row.endpointWait.value(), row.events.value(), row.persistTime.value(), read)
 	}
 }
 
--- a/bvexplain/row.go
+++ b/bvexplain/row.go
@@ -28,11 +28,11 @@
 
 // row counts requests and sums up their times and tokens.
 type row struct {
-	answered, refused, failed    int
-	duration                     sample
-	here, endpoint, events       mean
-	persist                      mean
-	promptTokens, uncachedTokens int
+	answered, refused, failed       int
+	duration                        sample
+	localWait, endpointWait, events mean
+	persistTime                     mean
+	promptTokens, uncachedTokens    int
 }
 
 func (row *row) add(line *line) {
@@ -49,16 +49,16 @@
 	if line.Sends == 0 {
 		return
 	}
-	row.here.add(line.Sent)
+	row.localWait.add(line.Sent)
 	row.promptTokens += line.Prompt
 	row.uncachedTokens += max(line.Prompt-line.Cached, 0)
 	if line.Events == 0 {
-		row.endpoint.add(line.Took - line.Sent)
+		row.endpointWait.add(line.Took - line.Sent)
 		return
 	}
-	row.endpoint.add(line.First - line.Sent)
+	row.endpointWait.add(line.First - line.Sent)
 	row.events.add(line.Took - line.First - line.Kept)
-	row.persist.add(line.Kept)
+	row.persistTime.add(line.Kept)
 }
 
 // mean is a sum and a count.
