--- a/bvdemo/speed_test.go
+++ b/bvdemo/speed_test.go
@@ -102,6 +102,8 @@
 	measureCalls(b, func(int) error { return speedCall(system.engines[0], "", 0) })
 }
 
+// benchmarkCall makes calls in programs of ten turns, one program after the other; the
+// calls alternate between the hosts.
 func benchmarkCall(b *testing.B, hosts int) {
 	system := speedSystem(b, hosts)
 	addresses := system.callerAddresses()
