--- a/bvcommand/demo.go
+++ b/bvcommand/demo.go
@@ -26,7 +26,7 @@
 			if err != nil {
 				return err
 			}
-			if !routed.AllPromisesHold() || !report.Kept() || report.Finished != report.Programs {
+			if !routed.AllPromisesHold() || !report.AllPromisesHold() || report.Finished != report.Programs {
 				return errors.New("demo: a promise was broken")
 			}
 			return nil
--- a/bvcommand/load.go
+++ b/bvcommand/load.go
@@ -88,10 +88,10 @@
 	set.IntVar(&config.Concurrency, "concurrency", 0, "closed loop: number of concurrent programs; 0: default")
 	set.Float64Var(&config.Rate, "rate", 0, "open loop: new programs per second; 0: closed loop")
 	set.Uint64Var(&config.Seed, "seed", 1, "seed of the random numbers")
-	set.IntVar(&config.Tries, "tries", 0, "maximum number of attempts of each request; 0: default")
-	set.Float64Var(&config.Pauses, "pauses", 0, "factor on all pauses; 0: factor 1, negative: no pauses")
-	set.StringSliceVar(&config.Counters, "service", nil, "addresses of stand-in services, queried for the number of runs of each request")
-	set.StringSliceVar(&config.Engines, "engine", nil, "addresses of stand-in engines, queried at the end for cached prefixes of ended programs")
+	set.IntVar(&config.MaxAttempts, "tries", 0, "maximum number of attempts of each request; 0: default")
+	set.Float64Var(&config.PauseFactor, "pauses", 0, "factor on all pauses; 0: factor 1, negative: no pauses")
+	set.StringSliceVar(&config.ServiceAddresses, "service", nil, "addresses of stand-in services, queried for the number of runs of each request")
+	set.StringSliceVar(&config.EngineAddresses, "engine", nil, "addresses of stand-in engines, queried at the end for cached prefixes of ended programs")
 }
 
 func (flags *loadFlags) run(command *cobra.Command, config bvload.Config) error {
@@ -110,7 +110,7 @@
 	if err := flags.write(report); err != nil {
 		return err
 	}
-	if !report.Kept() {
+	if !report.AllPromisesHold() {
 		return errPromiseBroken
 	}
 	return nil
--- a/bvdemo/demo.go
+++ b/bvdemo/demo.go
@@ -5,7 +5,7 @@
 // # Usage
 //
 //	summary, err := bvdemo.Run(ctx, bvdemo.Config{Output: os.Stdout})
-//	if err == nil && !summary.Kept() {
+//	if err == nil && !summary.AllPromisesHold() {
 //		// a promise was broken
 //	}
 package bvdemo
@@ -48,14 +48,14 @@
 	}
 	defer system.stop()
 	report, err := bvload.Run(ctx, bvload.Config{
-		Addresses:   system.callerAddresses(),
-		Members:     bvload.Members(map[string]string{bvload.Piran: piranKey, bvload.Brindley: brindleyKey}),
-		Programs:    programs,
-		Concurrency: concurrency,
-		Seed:        config.Seed,
-		Counters:    system.services,
-		Engines:     system.engines,
-		Progress:    func(progress bvload.Progress) { printProgress(config.Output, progress) },
+		Addresses:        system.callerAddresses(),
+		Members:          bvload.Members(map[string]string{bvload.Piran: piranKey, bvload.Brindley: brindleyKey}),
+		Programs:         programs,
+		Concurrency:      concurrency,
+		Seed:             config.Seed,
+		ServiceAddresses: system.services,
+		EngineAddresses:  system.engines,
+		Progress:         func(progress bvload.Progress) { printProgress(config.Output, progress) },
 	})
 	if err != nil {
 		return bvload.Report{}, err
@@ -70,6 +70,6 @@
 
 func summaryLine(report bvload.Report) string {
 	return fmt.Sprintf("demo: programs=%d finished=%d requests=%d lost=%d mixed=%d twice=%d p50_ms=%.0f p99_ms=%.0f",
-		report.Programs, report.Finished, report.Requests, report.Lost, report.Mixed, report.Twice,
+		report.Programs, report.Finished, report.Requests, report.Lost, report.Mixed, report.DuplicateRuns,
 		report.All.Program.P50, report.All.Program.P99)
 }
--- a/bvload/audit.go
+++ b/bvload/audit.go
@@ -12,54 +12,54 @@
 )
 
 const (
-	releaseWait = 15 * time.Second
-	releasePoll = 200 * time.Millisecond
-	auditWait   = 30 * time.Second
+	releaseTimeout      = 15 * time.Second
+	releasePollInterval = 200 * time.Millisecond
+	auditTimeout        = 30 * time.Second
 )
 
-// audit asks services and engines whether the promises held that no answer
-// alone can prove.
+// audit queries services and engines to check the promises that an answer alone can't
+// prove.
 func (load *load) audit(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), auditWait)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), auditTimeout)
 	defer cancel()
-	if len(load.config.Counters) > 0 {
-		for _, request := range load.measure.once {
+	if len(load.config.ServiceAddresses) > 0 {
+		for _, request := range load.measure.unrepeatableRequests {
 			load.auditRuns(ctx, request)
 		}
 	}
-	if len(load.config.Engines) > 0 {
+	if len(load.config.EngineAddresses) > 0 {
 		load.auditCaches(ctx)
 	}
 }
 
-// auditRuns asks how often an unrepeatable request ran: once at most, once
-// when it has an answer, and never when the system said that it was not run.
-func (load *load) auditRuns(ctx context.Context, sent sentOnce) {
-	runs, err := load.runs(ctx, sent.request)
-	load.measure.locked(func() {
+// auditRuns checks how often an unrepeatable request ran: at most once, exactly once if
+// it was answered, and never if the system reported it as not run.
+func (load *load) auditRuns(ctx context.Context, sent unrepeatableRequest) {
+	runs, err := load.countRuns(ctx, sent.request)
+	load.measure.withLock(func() {
 		switch {
 		case err != nil:
-			load.measure.unasked++
+			load.measure.unverified++
 		case runs > 1:
-			load.measure.twice++
-			load.measure.note("twice", sent.request, fmt.Sprintf("ran %d times", runs))
+			load.measure.duplicateRuns++
+			load.measure.addBrokenPromise("twice", sent.request, fmt.Sprintf("ran %d times", runs))
 		case runs == 1 && sent.notRun:
-			load.measure.falseRefusal++
-			load.measure.note("false refusal", sent.request, "said to be not run, but ran")
-		case runs == 0 && sent.known:
+			load.measure.falseRefusals++
+			load.measure.addBrokenPromise("false refusal", sent.request, "reported as not run, but ran")
+		case runs == 0 && sent.answered:
 			load.measure.lost++
-			load.measure.note("lost", sent.request, "answered, but the services know of no run")
+			load.measure.addBrokenPromise("lost", sent.request, "answered, but no service counted a run")
 		}
 	})
 }
 
-func (load *load) runs(ctx context.Context, request string) (int, error) {
+func (load *load) countRuns(ctx context.Context, request string) (int, error) {
 	total := 0
-	for _, address := range load.config.Counters {
+	for _, address := range load.config.ServiceAddresses {
 		var answer struct {
 			Runs int `json:"runs"`
 		}
-		if err := load.ask(ctx, address, "/runs?request="+url.QueryEscape(request), &answer); err != nil {
+		if err := load.getJSON(ctx, address, "/runs?request="+url.QueryEscape(request), &answer); err != nil {
 			return 0, err
 		}
 		total += answer.Runs
@@ -67,7 +67,7 @@
 	return total, nil
 }
 
-func (load *load) ask(ctx context.Context, address, path string, answer any) error {
+func (load *load) getJSON(ctx context.Context, address, path string, answer any) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
 		return fmt.Errorf("load: %w", err)
@@ -83,38 +83,38 @@
 	return nil
 }
 
-// auditCaches waits until no engine holds memory for a program that has ended,
-// and counts those that are still held when the wait is over.
+// auditCaches waits until no engine caches a prefix of an ended program, and counts the
+// prefixes that are still cached at the timeout.
 func (load *load) auditCaches(ctx context.Context) {
 	ended := make(map[endedProgram]bool)
-	for _, program := range load.measure.endings {
+	for _, program := range load.measure.endedPrograms {
 		ended[program] = true
 	}
-	deadline := time.Now().Add(releaseWait)
+	deadline := time.Now().Add(releaseTimeout)
 	for {
-		held := 0
-		for _, address := range load.config.Engines {
-			held += load.heldAt(ctx, address, ended)
+		heldPrefixes := 0
+		for _, address := range load.config.EngineAddresses {
+			heldPrefixes += load.countHeldPrefixes(ctx, address, ended)
 		}
-		load.measure.locked(func() { load.measure.held = held })
-		if held == 0 || time.Now().After(deadline) || !pause(ctx, releasePoll) {
+		load.measure.withLock(func() { load.measure.heldPrefixes = heldPrefixes })
+		if heldPrefixes == 0 || time.Now().After(deadline) || !pause(ctx, releasePollInterval) {
 			return
 		}
 	}
 }
 
-func (load *load) heldAt(ctx context.Context, address string, ended map[endedProgram]bool) int {
+func (load *load) countHeldPrefixes(ctx context.Context, address string, ended map[endedProgram]bool) int {
 	var answer struct {
 		Cached []bvstandin.CachedPrefix `json:"cached"`
 	}
-	if err := load.ask(ctx, address, "/cache", &answer); err != nil {
-		return 0 // an engine that is gone holds nothing
+	if err := load.getJSON(ctx, address, "/cache", &answer); err != nil {
+		return 0 // an unreachable engine counts as caching nothing
 	}
-	held := 0
+	heldPrefixes := 0
 	for _, cached := range answer.Cached {
 		if ended[endedProgram{cached.Salt, cached.Prefix}] {
-			held++
+			heldPrefixes++
 		}
 	}
-	return held
+	return heldPrefixes
 }
--- a/bvload/caller.go
+++ b/bvload/caller.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	maxAnswer    = 64 << 20
-	firstBackoff = 50 * time.Millisecond
-	maxBackoff   = 2 * time.Second
+	maxAnswerBytes = 64 << 20
+	minBackoff     = 50 * time.Millisecond
+	maxBackoff     = 2 * time.Second
 )
 
-// outgoing is a request to the caller API.
-type outgoing struct {
+// apiRequest is a request to the caller API.
+type apiRequest struct {
 	method       string
 	path         string
 	key          string
@@ -36,16 +36,16 @@
 	request      string
 	turn         int
 	unrepeatable bool
-	full         bool
+	fullHistory  bool
 	stream       bool
 }
 
-// incoming is the complete answer to a request.
-type incoming struct {
-	body       []byte // whole; of a stream nil
-	text       string // of a stream
+// apiAnswer is the complete answer to a request.
+type apiAnswer struct {
+	body       []byte // complete body; nil for a stream
+	text       string // text of a stream
 	usage      usage
-	tokens     []time.Time // arrivals of a stream's chunks with text
+	tokenTimes []time.Time // arrival times of a stream's chunks with text
 	firstToken time.Duration
 	latency    time.Duration
 }
@@ -58,9 +58,9 @@
 	} `json:"prompt_tokens_details"`
 }
 
-// callError is why a request has no answer.
+// callError is the reason why a request has no answer.
 type callError struct {
-	typed      bool // the system said so; otherwise no complete answer came
+	typed      bool // sent by the system; otherwise no complete answer arrived
 	code       string
 	verdict    string
 	message    string
@@ -72,17 +72,17 @@
 	return fmt.Sprintf("%s (%s): %s", err.code, err.verdict, err.message)
 }
 
-func (err *callError) notRun() bool {
+func (err *callError) isNotRun() bool {
 	return err.typed && err.verdict == bvverdict.NotRun.String()
 }
 
-// final reports whether coming back can't help.
-func (err *callError) final() bool {
+// isFinal reports whether a retry is useless.
+func (err *callError) isFinal() bool {
 	return err.typed && finalCodes[err.code] && err.retryAfter == 0
 }
 
-// finalCodes are the errors after which coming back doesn't help, unless the
-// system says when to come back.
+// finalCodes are the error codes after which a retry is useless, unless the answer has
+// a Retry-After header.
 var finalCodes = map[string]bool{
 	bvverdict.BadRequest.String():     true,
 	bvverdict.Unauthorized.String():   true,
@@ -101,27 +101,27 @@
 	bvverdict.TooLarge.String():       true,
 }
 
-// call sends a request until it has an answer or coming back can't help. It
-// repeats it under the same id, also when it is unrepeatable: that the request
-// runs once all the same is the system's promise.
-func (load *load) call(ctx context.Context, request outgoing) (incoming, *callError) {
+// call sends a request until it has an answer or a retry is useless, within the deadline
+// and MaxAttempts. It retries under the same id even if the request is unrepeatable: the
+// system promises that the request still runs only once.
+func (load *load) call(ctx context.Context, request apiRequest) (apiAnswer, *callError) {
 	ctx, cancel := context.WithTimeout(ctx, load.config.Deadline.Std())
 	defer cancel()
-	load.measure.request()
+	load.measure.countRequest()
 	started := time.Now()
-	backoff := firstBackoff
+	backoff := minBackoff
 	var last *callError
-	for try := range load.config.Tries {
-		if try > 0 {
-			load.measure.retry(last)
+	for attempt := range load.config.MaxAttempts {
+		if attempt > 0 {
+			load.measure.countRetry(last)
 		}
-		answer, err := load.try(ctx, request, started)
+		answer, err := load.attempt(ctx, request, started)
 		if err == nil {
 			answer.latency = time.Since(started)
 			return answer, nil
 		}
 		last = err
-		if err.final() {
+		if err.isFinal() {
 			break
 		}
 		if !pause(ctx, max(backoff, err.retryAfter)) {
@@ -129,37 +129,38 @@
 		}
 		backoff = min(2*backoff, maxBackoff)
 	}
-	load.measure.failed(request, last)
-	return incoming{}, last
+	load.measure.recordFailure(request, last)
+	return apiAnswer{}, last
 }
 
-// try sends a request once, to any daemon: the balancer has no affinity.
-func (load *load) try(ctx context.Context, request outgoing, started time.Time) (incoming, *callError) {
-	address := load.config.Addresses[load.next.Add(1)%uint64(len(load.config.Addresses))]
+// attempt sends a request once, to the next daemon in turn, like a load balancer without
+// affinity.
+func (load *load) attempt(ctx context.Context, request apiRequest, started time.Time) (apiAnswer, *callError) {
+	address := load.config.Addresses[load.nextDaemon.Add(1)%uint64(len(load.config.Addresses))]
 	sent, err := http.NewRequestWithContext(ctx, request.method, "http://"+address+request.path, bytes.NewReader(request.body))
 	if err != nil {
-		return incoming{}, untyped(err)
+		return apiAnswer{}, transportError(err)
 	}
 	request.addHeaders(sent.Header, ctx)
 	response, err := load.client.Do(sent)
 	if err != nil {
-		return incoming{}, untyped(err)
+		return apiAnswer{}, transportError(err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode >= http.StatusBadRequest {
-		return incoming{}, typed(response)
+		return apiAnswer{}, responseError(response)
 	}
 	if request.stream {
 		return readStream(response.Body, started)
 	}
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
-		return incoming{}, untyped(err)
+		return apiAnswer{}, transportError(err)
 	}
-	return incoming{body: body}, nil
+	return apiAnswer{body: body}, nil
 }
 
-func (request outgoing) addHeaders(header http.Header, ctx context.Context) {
+func (request apiRequest) addHeaders(header http.Header, ctx context.Context) {
 	header.Set("Authorization", "Bearer "+request.key)
 	header.Set("Content-Type", "application/json")
 	set := func(name, value string) {
@@ -177,7 +178,7 @@
 	if request.unrepeatable {
 		set("Bv-Unrepeatable", "true")
 	}
-	if request.full {
+	if request.fullHistory {
 		set("Bv-History", "full")
 	}
 	if deadline, found := ctx.Deadline(); found {
@@ -185,16 +186,16 @@
 	}
 }
 
-// Codes of requests that no daemon answered.
+// Codes of requests without an answer from a daemon.
 const (
 	codeUnreachable = "unreachable" // no connection
 	codeTimeout     = "timeout"     // the caller's own deadline
-	codeCut         = "cut"         // the connection broke before the answer was whole
+	codeCut         = "cut"         // the connection broke before the answer was complete
 )
 
-// untyped tells a daemon that is not there from one that cut a request off:
-// a planned stop must do the first only.
-func untyped(err error) *callError {
+// transportError distinguishes an unreachable daemon from one that cut a request off: a
+// planned stop may only cause the former.
+func transportError(err error) *callError {
 	failed := &callError{code: codeCut, message: err.Error()}
 	if operation := new(net.OpError); errors.As(err, &operation) && operation.Op == "dial" {
 		failed.code = codeUnreachable
@@ -205,14 +206,14 @@
 	return failed
 }
 
-func typed(response *http.Response) *callError {
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+func responseError(response *http.Response) *callError {
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
-		return untyped(err)
+		return transportError(err)
 	}
-	found := errorIn(body)
+	found := parseError(body)
 	if found == nil {
-		return untyped(fmt.Errorf("status %d without a typed error", response.StatusCode))
+		return transportError(fmt.Errorf("status %d without a typed error", response.StatusCode))
 	}
 	if seconds, err := strconv.Atoi(response.Header.Get("Retry-After")); err == nil {
 		found.retryAfter = (bvclock.Duration(seconds) * bvclock.Second).Std()
@@ -220,8 +221,8 @@
 	return found
 }
 
-// errorIn returns the typed error that a body or an event holds, if any.
-func errorIn(body []byte) *callError {
+// parseError returns the typed error in a body or an event, or nil.
+func parseError(body []byte) *callError {
 	var answer struct {
 		Error *struct {
 			Message string `json:"message"`
@@ -235,15 +236,15 @@
 	return &callError{typed: true, code: answer.Error.Code, verdict: answer.Error.Verdict, message: answer.Error.Message}
 }
 
-// readStream reads server-sent events. Only [DONE] makes the answer complete.
-func readStream(body io.Reader, started time.Time) (incoming, *callError) {
-	var answer incoming
+// readStream reads server-sent events. The answer is complete only after [DONE].
+func readStream(body io.Reader, started time.Time) (apiAnswer, *callError) {
+	var answer apiAnswer
 	var text bytes.Buffer
 	lines := bufio.NewReader(body)
 	for {
 		line, err := lines.ReadBytes('\n')
 		if err != nil {
-			return answer, untyped(errors.Join(errCutStream, err))
+			return answer, transportError(errors.Join(errCutStream, err))
 		}
 		data, found := bytes.CutPrefix(bytes.TrimSpace(line), []byte("data: "))
 		if !found {
@@ -253,15 +254,15 @@
 			answer.text = text.String()
 			return answer, nil
 		}
-		if err := answer.take(data, &text, started); err != nil {
+		if err := answer.addChunk(data, &text, started); err != nil {
 			return answer, err
 		}
 	}
 }
 
-var errCutStream = errors.New("stream ended before its end")
+var errCutStream = errors.New("stream ended without [DONE]")
 
-func (answer *incoming) take(data []byte, text *bytes.Buffer, started time.Time) *callError {
+func (answer *apiAnswer) addChunk(data []byte, text *bytes.Buffer, started time.Time) *callError {
 	var chunk struct {
 		Choices []struct {
 			Delta struct {
@@ -272,10 +273,10 @@
 		Error json.RawMessage `json:"error"`
 	}
 	if err := json.Unmarshal(data, &chunk); err != nil {
-		return untyped(err)
+		return transportError(err)
 	}
 	if len(chunk.Error) > 0 {
-		return errorIn(data)
+		return parseError(data)
 	}
 	if chunk.Usage != nil {
 		answer.usage = *chunk.Usage
@@ -287,12 +288,12 @@
 	if text.Len() == 0 {
 		answer.firstToken = now.Sub(started)
 	}
-	answer.tokens = append(answer.tokens, now)
+	answer.tokenTimes = append(answer.tokenTimes, now)
 	text.WriteString(chunk.Choices[0].Delta.Content)
 	return nil
 }
 
-// completionText returns the text and usage of a whole chat completion.
+// completionText returns the text and usage of a chat completion that was not streamed.
 func completionText(body []byte) (string, usage, error) {
 	var completion struct {
 		Choices []struct {
--- a/bvload/load.go
+++ b/bvload/load.go
@@ -1,16 +1,15 @@
-// Package bvload sends agent programs to running daemons, as their callers
-// would, and checks the system's promises on the way.
+// Package bvload generates load: it runs agent programs against running daemons through
+// the caller API and checks the system's promises.
 //
 // A program is a chain of model calls with tool calls, pauses and sub-agents
 // in between. All programs are drawn from one seed before they run. The model
 // endpoints must be stand-in engines, whose answers begin with a digest of the
-// messages that they were sent: so each answer proves whether it belongs to
-// exactly the history that its caller knows.
+// messages in the request: each answer proves whether it belongs to exactly the
+// caller's history.
 //
-// In a closed loop a fixed number of programs is under way at any time. In an
-// open loop programs begin at a rate, whether or not earlier ones have ended;
-// their latency counts from the planned moment, so that a stall of the system
-// is seen in full.
+// In a closed loop a fixed number of programs is in flight at any time. In an open loop
+// programs start at a given rate, whether or not earlier ones have ended; their latency
+// counts from the planned start, so that it includes any stall of the system.
 //
 // # Usage
 //
@@ -22,7 +21,7 @@
 //		Seed:        1,
 //	})
 //	fmt.Print(report.Text())
-//	if !report.Kept() {
+//	if !report.AllPromisesHold() {
 //		// a promise was broken
 //	}
 package bvload
@@ -41,33 +40,33 @@
 	"balsamvalve.example/bvclock"
 )
 
-// Values that a zero Config stands for.
+// Defaults of Config.
 const (
 	defaultPrograms    = 20
 	defaultConcurrency = 4
 	defaultDeadline    = 60 * bvclock.Second
-	defaultTries       = 30
+	defaultMaxAttempts = 30
 	progressInterval   = time.Second
 )
 
-// Config describes a load. A zero field stands for its default.
+// Config configures a load. A zero field means its default.
 type Config struct {
-	Addresses   []string         // caller API of the daemons; each request goes to any of them
-	Members     []Member         // whose programs are sent
-	Programs    int              // in all; 20
-	Concurrency int              // closed loop: programs under way; 4
-	Rate        float64          // open loop: programs that begin a second; 0: closed loop
-	Seed        uint64           // of all that is drawn
-	Deadline    bvclock.Duration // of each request, its repeats included; 60 s
-	Tries       int              // of each request; 30
-	Pauses      float64          // factor on all pauses; 0: 1, negative: none
-	Run         string           // begins the ids of programs; empty: drawn anew
-	Counters    []string         // services that are asked how often a request ran
-	Engines     []string         // engines that are asked what they hold at the end
-	Progress    func(Progress)   // called every second
+	Addresses        []string         // caller API of the daemons; requests use them in turn
+	Members          []Member         // members whose programs run
+	Programs         int              // total number; 20
+	Concurrency      int              // closed loop: programs in flight; 4
+	Rate             float64          // open loop: programs started per second; 0: closed loop
+	Seed             uint64           // seed of all random draws
+	Deadline         bvclock.Duration // of each request, including its retries; 60 s
+	MaxAttempts      int              // attempts of each request; 30
+	PauseFactor      float64          // factor on all pauses; 0: 1, negative: none
+	RunID            string           // prefix of the ids of programs; empty: random
+	ServiceAddresses []string         // services queried for the runs of a request
+	EngineAddresses  []string         // engines queried for cached prefixes at the end
+	Progress         func(Progress)   // called every second
 }
 
-// Progress is how far a load has come.
+// Progress is the progress of a load.
 type Progress struct {
 	Programs int
 	Finished int
@@ -85,31 +84,30 @@
 	if config.Deadline <= 0 {
 		config.Deadline = defaultDeadline
 	}
-	if config.Tries <= 0 {
-		config.Tries = defaultTries
+	if config.MaxAttempts <= 0 {
+		config.MaxAttempts = defaultMaxAttempts
 	}
-	if config.Pauses == 0 {
-		config.Pauses = 1
+	if config.PauseFactor == 0 {
+		config.PauseFactor = 1
 	}
-	if config.Run == "" {
-		config.Run = strings.ToLower(rand.Text()[:8])
+	if config.RunID == "" {
+		config.RunID = strings.ToLower(rand.Text()[:8])
 	}
 	return config
 }
 
-// load is a run under way.
+// load is a load in progress.
 type load struct {
-	config  Config
-	planner planner
-	client  *http.Client
-	next    atomic.Uint64 // picks the daemon of the next request
-	measure measure
-	started time.Time
+	config     Config
+	planner    planner
+	client     *http.Client
+	nextDaemon atomic.Uint64 // selects the daemon of the next request
+	measure    measure
+	started    time.Time
 }
 
-// Run sends the programs and returns the report when all have ended. An error
-// means that the load could not be sent at all; broken promises are found in
-// the report.
+// Run runs the programs and returns the report when all have ended. An error means that
+// the load could not start; broken promises are in the report.
 func Run(ctx context.Context, config Config) (Report, error) {
 	config = config.withDefaults()
 	if len(config.Addresses) == 0 {
@@ -118,7 +116,7 @@
 	if err := checkMembers(config.Members); err != nil {
 		return Report{}, err
 	}
-	load := startLoad(config)
+	load := newLoad(config)
 	defer load.client.CloseIdleConnections()
 	stop := load.showProgress()
 	load.send(ctx)
@@ -128,17 +126,17 @@
 	return load.report(duration), nil
 }
 
-const idleConnections = 64
+const minIdleConnections = 64
 
-func startLoad(config Config) *load {
-	transport := &http.Transport{MaxIdleConnsPerHost: max(config.Concurrency, idleConnections), DisableCompression: true}
+func newLoad(config Config) *load {
+	transport := &http.Transport{MaxIdleConnsPerHost: max(config.Concurrency, minIdleConnections), DisableCompression: true}
 	load := &load{
 		config:  config.withDefaults(),
 		planner: planner{seed: config.Seed, members: config.Members},
 		client:  &http.Client{Transport: transport},
 		started: time.Now(),
 	}
-	load.measure.start(config.Members)
+	load.measure.initialize(config.Members)
 	return load
 }
 
@@ -190,7 +188,7 @@
 	programs.Wait()
 }
 
-// pause reports false when ctx ended first.
+// pause returns false if ctx is done before the pause is over.
 func pause(ctx context.Context, duration time.Duration) bool {
 	if duration <= 0 {
 		return ctx.Err() == nil
@@ -210,8 +208,8 @@
 		return func() {}
 	}
 	done := make(chan struct{})
-	var shown sync.WaitGroup
-	shown.Go(func() {
+	var reporter sync.WaitGroup
+	reporter.Go(func() {
 		ticker := time.NewTicker(progressInterval)
 		defer ticker.Stop()
 		for {
@@ -225,6 +223,6 @@
 	})
 	return func() {
 		close(done)
-		shown.Wait()
+		reporter.Wait()
 	}
 }
--- a/bvload/load_test.go
+++ b/bvload/load_test.go
@@ -18,7 +18,7 @@
 func TestSystemThatKeepsItsPromisesPasses(t *testing.T) {
 	_, config := newFakeSystem(t)
 	report := run(t, config)
-	require.True(t, report.Kept(), report.Text())
+	require.True(t, report.AllPromisesHold(), report.Text())
 	require.Equal(t, 8, report.Finished)
 	require.Zero(t, report.Failed)
 	require.Positive(t, report.Unrepeatable)
@@ -32,58 +32,58 @@
 	require.Equal(t, 8, run(t, config).Finished)
 }
 
-// Guards against a history that lacks its earliest message unseen.
+// Guards against not detecting that a history lacks its earliest message.
 func TestForgottenHistoryIsFound(t *testing.T) {
 	system, config := newFakeSystem(t)
-	system.forget = true
+	system.dropOldestMessage = true
 	report := run(t, config)
 	require.Positive(t, report.Lost)
-	require.False(t, report.Kept())
+	require.False(t, report.AllPromisesHold())
 }
 
 func TestMixedHistoryIsFound(t *testing.T) {
 	system, config := newFakeSystem(t)
-	system.cross = true
+	system.mixHistories = true
 	require.Positive(t, run(t, config).Mixed)
 }
 
 func TestUnrepeatableRequestThatRanTwiceIsFound(t *testing.T) {
 	system, config := newFakeSystem(t)
-	system.twice = true
+	system.runTwice = true
 	report := run(t, config)
-	require.Equal(t, report.Unrepeatable, report.Twice)
+	require.Equal(t, report.Unrepeatable, report.DuplicateRuns)
 }
 
 func TestFalseRefusalIsFound(t *testing.T) {
 	system, config := newFakeSystem(t)
-	system.lie = true
+	system.denyRuns = true
 	report := run(t, config)
 	require.Positive(t, report.FalseRefusals)
-	require.Zero(t, report.Twice)
+	require.Zero(t, report.DuplicateRuns)
 }
 
 func TestCacheHeldForEndedProgramIsFound(t *testing.T) {
 	system, config := newFakeSystem(t)
-	system.hold = true
+	system.neverRelease = true
 	config.Programs = 1
-	load := startLoad(config)
+	load := newLoad(config)
 	load.runProgram(t.Context(), 0, load.started)
 	ended := make(map[endedProgram]bool)
-	for _, program := range load.measure.endings {
+	for _, program := range load.measure.endedPrograms {
 		ended[program] = true
 	}
-	require.Positive(t, load.heldAt(t.Context(), config.Engines[0], ended))
+	require.Positive(t, load.countHeldPrefixes(t.Context(), config.EngineAddresses[0], ended))
 }
 
-// Guards against a cut stream that its caller takes for whole.
+// Guards against accepting a cut stream as complete.
 func TestCutStreamIsAskedForAgain(t *testing.T) {
 	system, config := newFakeSystem(t)
-	system.cut = true
+	system.cutStreams = true
 	report := run(t, config)
 	require.Positive(t, report.Retries)
 	require.Equal(t, report.Retries, report.Refusals[codeCut])
 	require.Equal(t, 8, report.Finished)
-	require.True(t, report.Kept(), report.Text())
+	require.True(t, report.AllPromisesHold(), report.Text())
 }
 
 func TestSameSeedDrawsTheSamePrograms(t *testing.T) {
--- a/bvload/measure.go
+++ b/bvload/measure.go
@@ -10,7 +10,7 @@
 
 //go:generate stringer -type=judgment -linecomment -output=judgment_string.go
 
-// judgment is what the check of an answer found.
+// judgment is the result of checking an answer.
 type judgment int
 
 const (
@@ -19,8 +19,8 @@
 	answerMixed                 // mixed
 )
 
-// maxBroken is how many broken promises a report describes.
-const maxBroken = 20
+// maxListed is the maximum number of broken promises, and of failures, that a report lists.
+const maxListed = 20
 
 const (
 	lowestMicros      = 1
@@ -32,105 +32,105 @@
 	return hdrhistogram.New(lowestMicros, highestMicros, significantDigits)
 }
 
-// times are the latencies of one member's programs.
-type times struct {
-	program *hdrhistogram.Histogram
-	first   *hdrhistogram.Histogram // token of a streamed call
-	between *hdrhistogram.Histogram // two tokens of a streamed call
-	chat    *hdrhistogram.Histogram // whole model call
-	tool    *hdrhistogram.Histogram // whole service call
+// latencies are the latency histograms of one member's programs.
+type latencies struct {
+	program       *hdrhistogram.Histogram
+	firstToken    *hdrhistogram.Histogram // first token of a streamed call
+	betweenTokens *hdrhistogram.Histogram // interval between two tokens of a streamed call
+	chat          *hdrhistogram.Histogram // complete model call
+	tool          *hdrhistogram.Histogram // complete service call
 }
 
-func newTimes() times {
-	return times{newHistogram(), newHistogram(), newHistogram(), newHistogram(), newHistogram()}
+func newLatencies() latencies {
+	return latencies{newHistogram(), newHistogram(), newHistogram(), newHistogram(), newHistogram()}
 }
 
-func (times times) merge(other times) {
-	times.program.Merge(other.program)
-	times.first.Merge(other.first)
-	times.between.Merge(other.between)
-	times.chat.Merge(other.chat)
-	times.tool.Merge(other.tool)
+func (latencies latencies) merge(other latencies) {
+	latencies.program.Merge(other.program)
+	latencies.firstToken.Merge(other.firstToken)
+	latencies.betweenTokens.Merge(other.betweenTokens)
+	latencies.chat.Merge(other.chat)
+	latencies.tool.Merge(other.tool)
 }
 
 func record(histogram *hdrhistogram.Histogram, latency time.Duration) {
 	_ = histogram.RecordValue(min(max(latency.Microseconds(), lowestMicros), highestMicros))
 }
 
-// memberCount counts one member's programs.
-type memberCount struct {
-	name     string
-	begun    int
-	finished int
-	failed   int
-	times    times
+// memberCounters are the counters and latencies of one member's programs.
+type memberCounters struct {
+	name      string
+	started   int
+	finished  int
+	failed    int
+	latencies latencies
 }
 
-// sentOnce is an unrepeatable request, to be asked about at the end.
-type sentOnce struct {
-	request string
-	notRun  bool // the system said so at last
-	known   bool // it has an answer
+// unrepeatableRequest is an unrepeatable request whose runs the audit checks.
+type unrepeatableRequest struct {
+	request  string
+	notRun   bool // the last error reported it as not run
+	answered bool // an answer arrived
 }
 
-// endedProgram is a program that the system was told has ended.
+// endedProgram is a program whose end the system has confirmed.
 type endedProgram struct{ member, program string }
 
-// measure counts what happens. It is safe for concurrent use.
+// measure collects the counters of a load. It is safe for concurrent use.
 type measure struct {
-	mutex        sync.Mutex
-	members      []memberCount
-	requests     int
-	retries      int
-	refusals     map[string]int // by code, repeats included
-	errors       map[string]int // of requests that failed for good, by code
-	lost         int
-	mixed        int
-	twice        int
-	falseRefusal int
-	uncertain    int
-	unanswered   int
-	unasked      int
-	held         int
-	prompt       int
-	cached       int
-	output       int
-	once         []sentOnce
-	endings      []endedProgram
-	broken       []string
-	failures     []string
-}
-
-func (measure *measure) start(members []Member) {
+	mutex                sync.Mutex
+	members              []memberCounters
+	requests             int
+	retries              int
+	refusals             map[string]int // failed attempts that were retried, by code
+	errors               map[string]int // final errors of requests, by code
+	lost                 int
+	mixed                int
+	duplicateRuns        int
+	falseRefusals        int
+	uncertain            int
+	unanswered           int
+	unverified           int
+	heldPrefixes         int
+	promptTokens         int
+	cachedTokens         int
+	outputTokens         int
+	unrepeatableRequests []unrepeatableRequest
+	endedPrograms        []endedProgram
+	brokenPromises       []string
+	failures             []string
+}
+
+func (measure *measure) initialize(members []Member) {
 	measure.refusals = make(map[string]int)
 	measure.errors = make(map[string]int)
 	for _, member := range members {
-		measure.members = append(measure.members, memberCount{name: member.Name, times: newTimes()})
+		measure.members = append(measure.members, memberCounters{name: member.Name, latencies: newLatencies()})
 	}
 }
 
-func (measure *measure) locked(change func()) {
+func (measure *measure) withLock(change func()) {
 	measure.mutex.Lock()
 	defer measure.mutex.Unlock()
 	change()
 }
 
-func (measure *measure) request() {
-	measure.locked(func() { measure.requests++ })
+func (measure *measure) countRequest() {
+	measure.withLock(func() { measure.requests++ })
 }
 
-func (measure *measure) retry(cause *callError) {
-	measure.locked(func() {
+func (measure *measure) countRetry(cause *callError) {
+	measure.withLock(func() {
 		measure.retries++
 		measure.refusals[cause.code]++
 	})
 }
 
-// failed notes a request that has no answer for good. One without so much as
-// a typed error is lost: its caller can't know what became of it.
-func (measure *measure) failed(request outgoing, cause *callError) {
-	measure.locked(func() {
-		if len(measure.failures) < maxBroken {
+// recordFailure counts a request that failed permanently. Without a typed error it also
+// counts as unanswered: its caller can't know the outcome.
+func (measure *measure) recordFailure(request apiRequest, cause *callError) {
+	measure.withLock(func() {
+		if len(measure.failures) < maxListed {
 			measure.failures = append(measure.failures, fmt.Sprintf("%s %s, request %s: %v", request.method, request.path, request.request, cause))
 		}
 		measure.errors[cause.code]++
@@ -140,79 +140,80 @@
 	})
 }
 
-func (measure *measure) begin(member int) {
-	measure.locked(func() { measure.members[member].begun++ })
+func (measure *measure) beginProgram(member int) {
+	measure.withLock(func() { measure.members[member].started++ })
 }
 
-func (measure *measure) finish(member int, latency time.Duration) {
-	measure.locked(func() {
+func (measure *measure) finishProgram(member int, latency time.Duration) {
+	measure.withLock(func() {
 		measure.members[member].finished++
-		record(measure.members[member].times.program, latency)
+		record(measure.members[member].latencies.program, latency)
 	})
 }
 
-func (measure *measure) giveUp(member int) {
-	measure.locked(func() { measure.members[member].failed++ })
+func (measure *measure) failProgram(member int) {
+	measure.withLock(func() { measure.members[member].failed++ })
 }
 
-func (measure *measure) chat(member int, answer incoming, used usage) {
-	measure.locked(func() {
-		measure.prompt += used.PromptTokens
-		measure.cached += used.Details.CachedTokens
-		measure.output += used.CompletionTokens
-		times := measure.members[member].times
-		record(times.chat, answer.latency)
-		if len(answer.tokens) == 0 {
+func (measure *measure) recordChat(member int, answer apiAnswer, used usage) {
+	measure.withLock(func() {
+		measure.promptTokens += used.PromptTokens
+		measure.cachedTokens += used.Details.CachedTokens
+		measure.outputTokens += used.CompletionTokens
+		latencies := measure.members[member].latencies
+		record(latencies.chat, answer.latency)
+		if len(answer.tokenTimes) == 0 {
 			return
 		}
-		record(times.first, answer.firstToken)
-		for i := range answer.tokens[1:] {
-			record(times.between, answer.tokens[i+1].Sub(answer.tokens[i]))
+		record(latencies.firstToken, answer.firstToken)
+		for i := range answer.tokenTimes[1:] {
+			record(latencies.betweenTokens, answer.tokenTimes[i+1].Sub(answer.tokenTimes[i]))
 		}
 	})
 }
 
-func (measure *measure) tool(member int, answer incoming) {
-	measure.locked(func() { record(measure.members[member].times.tool, answer.latency) })
+func (measure *measure) recordTool(member int, answer apiAnswer) {
+	measure.withLock(func() { record(measure.members[member].latencies.tool, answer.latency) })
 }
 
-func (measure *measure) judged(judgment judgment, request, detail string) {
+func (measure *measure) recordJudgment(judgment judgment, request, detail string) {
 	if judgment == answerGood {
 		return
 	}
-	measure.locked(func() {
+	measure.withLock(func() {
 		switch judgment {
 		case answerLost:
 			measure.lost++
 		case answerMixed:
 			measure.mixed++
 		}
-		measure.note(judgment.String(), request, detail)
+		measure.addBrokenPromise(judgment.String(), request, detail)
 	})
 }
 
-// note keeps the first broken promises for the report. The mutex is held.
-func (measure *measure) note(promise, request, detail string) {
-	if len(measure.broken) < maxBroken {
-		measure.broken = append(measure.broken, fmt.Sprintf("%s: request %s: %s", promise, request, detail))
+// addBrokenPromise adds a broken promise to the report's list, up to maxListed. The
+// caller holds the mutex.
+func (measure *measure) addBrokenPromise(promise, request, detail string) {
+	if len(measure.brokenPromises) < maxListed {
+		measure.brokenPromises = append(measure.brokenPromises, fmt.Sprintf("%s: request %s: %s", promise, request, detail))
 	}
 }
 
-func (measure *measure) unrepeatable(request string, failed *callError) {
-	measure.locked(func() {
-		measure.once = append(measure.once, sentOnce{
-			request: request,
-			notRun:  failed != nil && failed.notRun(),
-			known:   failed == nil,
+func (measure *measure) recordUnrepeatable(request string, failed *callError) {
+	measure.withLock(func() {
+		measure.unrepeatableRequests = append(measure.unrepeatableRequests, unrepeatableRequest{
+			request:  request,
+			notRun:   failed != nil && failed.isNotRun(),
+			answered: failed == nil,
 		})
-		if failed != nil && !failed.notRun() {
+		if failed != nil && !failed.isNotRun() {
 			measure.uncertain++
 		}
 	})
 }
 
-func (measure *measure) ended(member, program string) {
-	measure.locked(func() { measure.endings = append(measure.endings, endedProgram{member, program}) })
+func (measure *measure) recordEnd(member, program string) {
+	measure.withLock(func() { measure.endedPrograms = append(measure.endedPrograms, endedProgram{member, program}) })
 }
 
 func (measure *measure) progress(programs int) Progress {
--- a/bvload/plan.go
+++ b/bvload/plan.go
@@ -8,7 +8,7 @@
 
 //go:generate stringer -type=stepKind -linecomment -output=stepkind_string.go
 
-// stepKind is what a program does next.
+// stepKind is the kind of a program's step.
 type stepKind int
 
 const (
@@ -19,22 +19,22 @@
 
 // step is one step of a program.
 type step struct {
-	kind    stepKind
-	pauseMS int // before the step
-	text    string
-	tokens  int
-	stream  bool
-	tool    Tool
-	fetch   bool // fetch the answer again
-	subs    []plan
+	kind      stepKind
+	pauseMS   int // pause before the step
+	text      string
+	tokens    int
+	stream    bool
+	tool      Tool
+	fetch     bool // fetch the answer again
+	subAgents []plan
 }
 
-// plan is a whole program.
+// plan is the plan of a program.
 type plan struct {
-	member int // place in Config.Members
-	class  *Class
-	full   bool // sends its whole history with each call
-	steps  []step
+	member      int // index in Config.Members
+	class       *Class
+	fullHistory bool // sends its full history with each call
+	steps       []step
 }
 
 const (
@@ -44,11 +44,11 @@
 	fullPercent   = 10
 	maxSubAgents  = 2
 	subTurns      = 2
-	arrivalStream = 1 << 62 // apart from all programs' random numbers
+	arrivalStream = 1 << 62 // separate from the random streams of the programs
 )
 
-// planner draws programs. The same seed gives the same programs, whatever
-// order they are asked for in.
+// planner draws programs. The same seed gives the same programs, in whatever order they
+// are drawn.
 type planner struct {
 	seed    uint64
 	members []Member
@@ -63,12 +63,13 @@
 	member := drawWeighted(random, len(planner.members), func(i int) int { return planner.members[i].Weight })
 	classes := planner.members[member].Classes
 	class := drawWeighted(random, len(classes), func(i int) int { return classes[i].Weight })
-	plan := plan{member: member, class: &classes[class], full: chance(random, fullPercent)}
+	plan := plan{member: member, class: &classes[class], fullHistory: chance(random, fullPercent)}
 	plan.draw(random, plan.class.Turns.draw(random), true)
 	return plan
 }
 
-// draw adds so many model calls, with what happens between them.
+// draw adds the given number of model calls, with the tool calls and sub-agents between
+// them.
 func (plan *plan) draw(random *rand.Rand, turns int, withSubs bool) {
 	for turn := range turns {
 		plan.steps = append(plan.steps, plan.drawChat(random, turn))
@@ -78,7 +79,7 @@
 		if len(plan.class.Tools) > 0 && chance(random, plan.class.ToolPercent) {
 			plan.steps = append(plan.steps, plan.drawTool(random))
 		}
-		if withSubs && chance(random, plan.class.SubPercent) {
+		if withSubs && chance(random, plan.class.SubAgentPercent) {
 			plan.steps = append(plan.steps, plan.drawSubs(random))
 		}
 	}
@@ -112,7 +113,7 @@
 		sub := *plan
 		sub.steps = nil
 		sub.draw(random, 1+random.IntN(subTurns), false)
-		subs.subs = append(subs.subs, sub)
+		subs.subAgents = append(subs.subAgents, sub)
 	}
 	return subs
 }
@@ -124,8 +125,8 @@
 	return drawn.Min + random.IntN(drawn.Max-drawn.Min+1)
 }
 
-func chance(random *rand.Rand, of int) bool {
-	return random.IntN(percent) < of
+func chance(random *rand.Rand, percentage int) bool {
+	return random.IntN(percent) < percentage
 }
 
 func drawWeighted(random *rand.Rand, count int, weight func(int) int) int {
--- a/bvload/plot.go
+++ b/bvload/plot.go
@@ -14,8 +14,8 @@
 	plotHeight = 11 * vg.Centimeter
 )
 
-// Plot writes the members' program latencies by percentile into a file, whose
-// ending chooses the format: .svg, .png or .pdf.
+// Plot writes the members' program latencies by percentile to a file. The extension
+// selects the format: .svg, .png or .pdf.
 func (report Report) Plot(path string) error {
 	drawing := plot.New()
 	drawing.Title.Text = fmt.Sprintf("Program latency, %d programs, seed %d", report.Programs, report.Seed)
--- a/bvload/program.go
+++ b/bvload/program.go
@@ -20,53 +20,54 @@
 	Content string `json:"content"`
 }
 
-// program is one program under way, as its caller knows it.
+// program is the state of a running program on its caller's side.
 type program struct {
-	load    *load
-	plan    plan
-	id      string
-	parent  string
-	turn    int
-	history []message
-	pending []message // tool results that go with the next model call
-	subs    int
-	last    string // latest answer
+	load          *load
+	plan          plan
+	id            string
+	parent        string
+	turn          int
+	history       []message
+	pending       []message // tool results that go with the next model call
+	subAgentCount int
+	lastAnswer    string // latest answer
 }
 
-// errProgramFailed is why a program ends before its last step.
+// errProgramFailed is the error of a program that ends before its last step.
 var errProgramFailed = errors.New("program failed")
 
-// runProgram runs a program whose start was planned for a moment.
+// runProgram runs the program with the given index. Its latency counts from the planned
+// start.
 func (load *load) runProgram(ctx context.Context, index int, planned time.Time) {
 	program := &program{
 		load: load,
 		plan: load.planner.program(index),
-		id:   fmt.Sprintf("%s-%d", load.config.Run, index),
+		id:   fmt.Sprintf("%s-%d", load.config.RunID, index),
 	}
-	load.measure.begin(program.plan.member)
+	load.measure.beginProgram(program.plan.member)
 	err := program.run(ctx)
 	if err == nil {
-		load.measure.finish(program.plan.member, time.Since(planned))
+		load.measure.finishProgram(program.plan.member, time.Since(planned))
 	} else {
-		load.measure.giveUp(program.plan.member)
+		load.measure.failProgram(program.plan.member)
 	}
 	program.end(ctx)
 }
 
 func (program *program) run(ctx context.Context) error {
 	for _, step := range program.plan.steps {
-		duration := pauseOf(step.pauseMS, program.load.config.Pauses)
+		duration := pauseOf(step.pauseMS, program.load.config.PauseFactor)
 		if !pause(ctx, duration.Std()) {
 			return ctx.Err()
 		}
-		if err := program.do(ctx, step); err != nil {
+		if err := program.runStep(ctx, step); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (program *program) do(ctx context.Context, step step) error {
+func (program *program) runStep(ctx context.Context, step step) error {
 	switch step.kind {
 	case toolStep:
 		return program.callTool(ctx, step)
@@ -76,10 +77,10 @@
 	return program.chat(ctx, step)
 }
 
-// outgoing returns the next request of the program.
-func (program *program) outgoing(method, path string, body []byte) outgoing {
+// nextRequest returns the next request of the program.
+func (program *program) nextRequest(method, path string, body []byte) apiRequest {
 	program.turn++
-	return outgoing{
+	return apiRequest{
 		method:  method,
 		path:    path,
 		key:     program.member().Key,
@@ -97,18 +98,18 @@
 }
 
 func (program *program) chat(ctx context.Context, step step) error {
-	fresh := append(program.pending, message{"user", step.text})
+	newMessages := append(program.pending, message{"user", step.text})
 	program.pending = nil
-	sent := fresh
-	if program.plan.full {
-		sent = append(append([]message{}, program.history...), fresh...)
+	sent := newMessages
+	if program.plan.fullHistory {
+		sent = append(append([]message{}, program.history...), newMessages...)
 	}
 	body, err := chatBody(program.plan.class.Model, sent, step)
 	if err != nil {
 		return err
 	}
-	request := program.outgoing(http.MethodPost, "/v1/chat/completions", body)
-	request.full = program.plan.full
+	request := program.nextRequest(http.MethodPost, "/v1/chat/completions", body)
+	request.fullHistory = program.plan.fullHistory
 	request.stream = step.stream
 	answer, failed := program.load.call(ctx, request)
 	if failed != nil {
@@ -118,17 +119,17 @@
 	if err != nil {
 		return err
 	}
-	program.load.measure.chat(program.plan.member, answer, used)
-	program.load.measure.judged(checkAnswer(program.history, fresh, text, step.tokens), request.request, program.describe(text, step))
-	program.history = append(program.history, fresh...)
+	program.load.measure.recordChat(program.plan.member, answer, used)
+	program.load.measure.recordJudgment(checkAnswer(program.history, newMessages, text, step.tokens), request.request, program.describe(text, step))
+	program.history = append(program.history, newMessages...)
 	program.history = append(program.history, message{"assistant", text})
-	program.last = text
+	program.lastAnswer = text
 	return program.fetchAgain(ctx, step, request, text)
 }
 
 func (program *program) describe(text string, step step) string {
 	return fmt.Sprintf("class %s, turn %d, %d messages of history, full %t, stream %t, %d tokens: %.60q",
-		program.plan.class.Name, program.turn, len(program.history), program.plan.full, step.stream, step.tokens, text)
+		program.plan.class.Name, program.turn, len(program.history), program.plan.fullHistory, step.stream, step.tokens, text)
 }
 
 func chatBody(model string, messages []message, step step) ([]byte, error) {
@@ -148,32 +149,33 @@
 	return json.Marshal(body)
 }
 
-func chatAnswer(answer incoming, stream bool) (string, usage, error) {
+func chatAnswer(answer apiAnswer, stream bool) (string, usage, error) {
 	if stream {
 		return answer.text, answer.usage, nil
 	}
 	return completionText(answer.body)
 }
 
-// fetchAgain asks for an answer that was complete: it must be the same.
-func (program *program) fetchAgain(ctx context.Context, step step, request outgoing, text string) error {
+// fetchAgain fetches an answer that has already arrived completely, and checks that it is
+// the same.
+func (program *program) fetchAgain(ctx context.Context, step step, request apiRequest, text string) error {
 	if !step.fetch {
 		return nil
 	}
-	answer, failed := program.load.call(ctx, outgoing{
+	answer, failed := program.load.call(ctx, apiRequest{
 		method: http.MethodGet,
 		path:   answerPath(program.id, request.request),
 		key:    request.key,
 	})
 	if failed != nil {
-		if failed.final() {
-			program.load.measure.judged(answerLost, request.request, "fetched again: "+failed.Error())
+		if failed.isFinal() {
+			program.load.measure.recordJudgment(answerLost, request.request, "fetched again: "+failed.Error())
 		}
 		return nil
 	}
-	kept, _, err := completionText(answer.body)
-	if err != nil || kept != text {
-		program.load.measure.judged(answerMixed, request.request, fmt.Sprintf("fetched again: %.60q in place of %.60q", kept, text))
+	fetched, _, err := completionText(answer.body)
+	if err != nil || fetched != text {
+		program.load.measure.recordJudgment(answerMixed, request.request, fmt.Sprintf("fetched again: %.60q in place of %.60q", fetched, text))
 	}
 	return nil
 }
@@ -187,33 +189,33 @@
 	if err != nil {
 		return err
 	}
-	request := program.outgoing(http.MethodPost, path, body)
+	request := program.nextRequest(http.MethodPost, path, body)
 	request.unrepeatable = step.tool.Unrepeatable
 	answer, failed := program.load.call(ctx, request)
 	if request.unrepeatable {
-		program.load.measure.unrepeatable(request.request, failed)
+		program.load.measure.recordUnrepeatable(request.request, failed)
 	}
 	if failed != nil && !request.unrepeatable {
 		return errors.Join(errProgramFailed, failed)
 	}
 	if failed != nil {
-		// A program whose booking may have been made goes on and says so.
+		// The request may have run: the program continues and passes that on to the model.
 		program.pending = append(program.pending, message{"tool", "outcome unknown"})
 		return nil
 	}
-	program.load.measure.tool(program.plan.member, answer)
-	program.load.measure.judged(checkTool(answer.body, request, body), request.request, fmt.Sprintf("service answered %.200q", answer.body))
+	program.load.measure.recordTool(program.plan.member, answer)
+	program.load.measure.recordJudgment(checkTool(answer.body, request, body), request.request, fmt.Sprintf("service answered %.200q", answer.body))
 	program.pending = append(program.pending, message{"tool", string(answer.body)})
 	return nil
 }
 
-// runSubs runs sub-agents side by side. Their last answers go with the next
+// runSubs runs sub-agents concurrently. Their last answers go with the next
 // model call.
 func (program *program) runSubs(ctx context.Context, step step) error {
-	subs := make([]*subAgent, len(step.subs))
+	subs := make([]*subAgent, len(step.subAgents))
 	var running sync.WaitGroup
-	for i, plan := range step.subs {
-		program.subs++
+	for i, plan := range step.subAgents {
+		program.subAgentCount++
 		subs[i] = newSubAgent(program, plan)
 		running.Go(func() { subs[i].err = subs[i].run(ctx) })
 	}
@@ -223,12 +225,12 @@
 		if sub.err != nil {
 			return sub.err
 		}
-		program.pending = append(program.pending, message{"tool", sub.last})
+		program.pending = append(program.pending, message{"tool", sub.lastAnswer})
 	}
 	return nil
 }
 
-// subAgent is a program that another one started.
+// subAgent is a program that was started by another program.
 type subAgent struct {
 	program
 	err error
@@ -238,26 +240,26 @@
 	return &subAgent{program: program{
 		load:   parent.load,
 		plan:   plan,
-		id:     fmt.Sprintf("%s-s%d", parent.id, parent.subs),
+		id:     fmt.Sprintf("%s-s%d", parent.id, parent.subAgentCount),
 		parent: parent.id,
 	}}
 }
 
-// end tells the system that the program has ended.
+// end reports the end of the program to the system.
 func (program *program) end(ctx context.Context) {
-	_, failed := program.load.call(context.WithoutCancel(ctx), outgoing{
+	_, failed := program.load.call(context.WithoutCancel(ctx), apiRequest{
 		method: http.MethodDelete,
 		path:   "/v1/programs/" + url.PathEscape(program.id),
 		key:    program.member().Key,
 	})
 	if failed == nil {
-		program.load.measure.ended(program.member().Name, program.id)
+		program.load.measure.recordEnd(program.member().Name, program.id)
 	}
 }
 
-// checkAnswer judges a model's answer by the history that the caller knows.
-func checkAnswer(history, fresh []message, text string, tokens int) judgment {
-	want, err := digestOf(history, fresh)
+// checkAnswer checks a model's answer against the caller's history.
+func checkAnswer(history, newMessages []message, text string, tokens int) judgment {
+	want, err := digestOf(history, newMessages)
 	if err != nil || bvstandin.IsAnswer(text, want, tokens) {
 		return answerGood
 	}
@@ -266,11 +268,11 @@
 		return judgeRest(text, want, tokens)
 	}
 	for from := range len(history) {
-		shorter, err := digestOf(history[from+1:], fresh)
+		shorter, err := digestOf(history[from+1:], newMessages)
 		if err == nil && got == bvstandin.FirstWord(shorter) {
-			return answerLost // the model knew only a part of the history
+			return answerLost // the model received only a part of the history
 		}
-		shorter, err = digestOf(history[:from], fresh)
+		shorter, err = digestOf(history[:from], newMessages)
 		if err == nil && got == bvstandin.FirstWord(shorter) {
 			return answerLost
 		}
@@ -278,26 +280,26 @@
 	return answerMixed
 }
 
-// judgeRest judges an answer whose first word is right.
+// judgeRest checks an answer whose first word is correct.
 func judgeRest(text, digest string, tokens int) judgment {
 	for shorter := range tokens {
 		if bvstandin.IsAnswer(text, digest, shorter) {
 			return answerLost // the end is missing
 		}
 	}
-	return answerMixed // of two runs
+	return answerMixed // composed of two runs
 }
 
-func digestOf(history, fresh []message) (string, error) {
-	encoded, err := json.Marshal(append(append([]message{}, history...), fresh...))
+func digestOf(history, newMessages []message) (string, error) {
+	encoded, err := json.Marshal(append(append([]message{}, history...), newMessages...))
 	if err != nil {
 		return "", err
 	}
 	return bvstandin.Digest(encoded)
 }
 
-// checkTool judges a service's answer by the request that it echoes.
-func checkTool(answer []byte, request outgoing, body []byte) judgment {
+// checkTool checks a service's answer against the request that it echoes.
+func checkTool(answer []byte, request apiRequest, body []byte) judgment {
 	var echo bvstandin.ServiceAnswer
 	if err := json.Unmarshal(answer, &echo); err != nil {
 		return answerMixed
--- a/bvload/report.go
+++ b/bvload/report.go
@@ -11,7 +11,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Latency sums up one kind of latency, in milliseconds.
+// Latency is the summary of one latency histogram, in milliseconds.
 type Latency struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -23,26 +23,26 @@
 	curve []point
 }
 
-// curvePoints is one for each percentile from 0 to 100.
+// curvePoints is the number of percentiles from 0 to 100.
 const curvePoints = 101
 
 // point is one point of a percentile curve.
 type point struct{ percentile, milliseconds float64 }
 
-// MemberReport is what one member's callers saw.
+// MemberReport holds the results of one member's programs.
 type MemberReport struct {
-	Name       string  `json:"name"`
-	Programs   int     `json:"programs"`
-	Finished   int     `json:"finished"`
-	Failed     int     `json:"failed"`
-	Program    Latency `json:"program"`     // first call to final answer, pauses included
-	FirstToken Latency `json:"first_token"` // of streamed calls
-	Between    Latency `json:"between_tokens"`
-	Chat       Latency `json:"chat"` // whole model calls, repeats included
-	Tool       Latency `json:"tool"`
+	Name          string  `json:"name"`
+	Programs      int     `json:"programs"`
+	Finished      int     `json:"finished"`
+	Failed        int     `json:"failed"`
+	Program       Latency `json:"program"`     // planned start to last answer, including pauses
+	FirstToken    Latency `json:"first_token"` // of streamed calls
+	BetweenTokens Latency `json:"between_tokens"`
+	Chat          Latency `json:"chat"` // complete model calls, including retries
+	Tool          Latency `json:"tool"`
 }
 
-// Report is what a load found.
+// Report is the result of a load.
 type Report struct {
 	Seed     uint64         `json:"seed"`
 	Seconds  float64        `json:"seconds"`
@@ -51,32 +51,32 @@
 	Failed   int            `json:"failed"`
 	Requests int            `json:"requests"`
 	Retries  int            `json:"retries"`
-	Refusals map[string]int `json:"refusals"` // that were repeated, by code
-	Errors   map[string]int `json:"errors"`   // of requests without an answer in the end, by code
-
-	Lost          int `json:"lost"`           // histories and answers that are not whole
-	Mixed         int `json:"mixed"`          // answers that belong to something else
-	Twice         int `json:"twice"`          // unrepeatable requests that ran more than once
-	FalseRefusals int `json:"false_refusals"` // "not run", but it ran
-	Held          int `json:"held"`           // prefixes of ended programs that engines still hold
+	Refusals map[string]int `json:"refusals"` // failed attempts that were retried, by code
+	Errors   map[string]int `json:"errors"`   // final errors of requests, by code
+
+	Lost          int `json:"lost"`           // incomplete histories and answers, and answered requests that never ran
+	Mixed         int `json:"mixed"`          // answers to another history or request, or composed of two runs
+	DuplicateRuns int `json:"twice"`          // unrepeatable requests that ran more than once
+	FalseRefusals int `json:"false_refusals"` // requests reported as "not run" that ran
+	HeldPrefixes  int `json:"held"`           // prefixes of ended programs that engines still cache
 	Unanswered    int `json:"unanswered"`     // requests with neither an answer nor a typed error
 	Uncertain     int `json:"uncertain"`      // unrepeatable requests that may have run
 	Unrepeatable  int `json:"unrepeatable"`   // unrepeatable requests that were sent
-	Unasked       int `json:"unasked"`        // of them, those whose runs could not be asked for
+	Unverified    int `json:"unasked"`        // unrepeatable requests whose runs could not be queried
 
 	PromptTokens int `json:"prompt_tokens"`
 	CachedTokens int `json:"cached_tokens"`
 	OutputTokens int `json:"output_tokens"`
 
-	Broken   []string       `json:"broken"`   // the first broken promises, described
-	Failures []string       `json:"failures"` // the first requests without an answer in the end
-	All      MemberReport   `json:"all"`
-	Members  []MemberReport `json:"members"`
+	BrokenPromises []string       `json:"broken"`   // descriptions of the first broken promises
+	Failures       []string       `json:"failures"` // descriptions of the first failed requests
+	All            MemberReport   `json:"all"`
+	Members        []MemberReport `json:"members"`
 }
 
-// Kept reports whether all promises held that were checked.
-func (report Report) Kept() bool {
-	return report.Lost+report.Mixed+report.Twice+report.FalseRefusals+report.Held == 0
+// AllPromisesHold reports whether all checked promises hold.
+func (report Report) AllPromisesHold() bool {
+	return report.Lost+report.Mixed+report.DuplicateRuns+report.FalseRefusals+report.HeldPrefixes == 0
 }
 
 func (load *load) report(duration time.Duration) Report {
@@ -84,57 +84,57 @@
 	measure.mutex.Lock()
 	defer measure.mutex.Unlock()
 	report := Report{
-		Seed:          load.config.Seed,
-		Seconds:       duration.Seconds(),
-		Requests:      measure.requests,
-		Retries:       measure.retries,
-		Refusals:      measure.refusals,
-		Errors:        measure.errors,
-		Lost:          measure.lost,
-		Mixed:         measure.mixed,
-		Twice:         measure.twice,
-		FalseRefusals: measure.falseRefusal,
-		Held:          measure.held,
-		Unanswered:    measure.unanswered,
-		Uncertain:     measure.uncertain,
-		Unrepeatable:  len(measure.once),
-		Unasked:       measure.unasked,
-		PromptTokens:  measure.prompt,
-		CachedTokens:  measure.cached,
-		OutputTokens:  measure.output,
-		Broken:        measure.broken,
-		Failures:      measure.failures,
+		Seed:           load.config.Seed,
+		Seconds:        duration.Seconds(),
+		Requests:       measure.requests,
+		Retries:        measure.retries,
+		Refusals:       measure.refusals,
+		Errors:         measure.errors,
+		Lost:           measure.lost,
+		Mixed:          measure.mixed,
+		DuplicateRuns:  measure.duplicateRuns,
+		FalseRefusals:  measure.falseRefusals,
+		HeldPrefixes:   measure.heldPrefixes,
+		Unanswered:     measure.unanswered,
+		Uncertain:      measure.uncertain,
+		Unrepeatable:   len(measure.unrepeatableRequests),
+		Unverified:     measure.unverified,
+		PromptTokens:   measure.promptTokens,
+		CachedTokens:   measure.cachedTokens,
+		OutputTokens:   measure.outputTokens,
+		BrokenPromises: measure.brokenPromises,
+		Failures:       measure.failures,
 	}
-	all := memberCount{name: "all", times: newTimes()}
+	all := memberCounters{name: "all", latencies: newLatencies()}
 	for _, member := range measure.members {
 		report.Members = append(report.Members, member.report())
 		all.add(member)
 	}
 	report.All = all.report()
-	report.Programs = all.begun
+	report.Programs = all.started
 	report.Finished = all.finished
 	report.Failed = all.failed
 	return report
 }
 
-func (count *memberCount) add(other memberCount) {
-	count.begun += other.begun
+func (count *memberCounters) add(other memberCounters) {
+	count.started += other.started
 	count.finished += other.finished
 	count.failed += other.failed
-	count.times.merge(other.times)
+	count.latencies.merge(other.latencies)
 }
 
-func (count *memberCount) report() MemberReport {
+func (count *memberCounters) report() MemberReport {
 	return MemberReport{
-		Name:       count.name,
-		Programs:   count.begun,
-		Finished:   count.finished,
-		Failed:     count.failed,
-		Program:    latencyOf(count.times.program),
-		FirstToken: latencyOf(count.times.first),
-		Between:    latencyOf(count.times.between),
-		Chat:       latencyOf(count.times.chat),
-		Tool:       latencyOf(count.times.tool),
+		Name:          count.name,
+		Programs:      count.started,
+		Finished:      count.finished,
+		Failed:        count.failed,
+		Program:       latencyOf(count.latencies.program),
+		FirstToken:    latencyOf(count.latencies.firstToken),
+		BetweenTokens: latencyOf(count.latencies.betweenTokens),
+		Chat:          latencyOf(count.latencies.chat),
+		Tool:          latencyOf(count.latencies.tool),
 	}
 }
 
@@ -158,17 +158,17 @@
 	return float64(micros) / 1000
 }
 
-// Text returns the report as a table for a person.
+// Text returns the report as human-readable text with a table of latencies.
 func (report Report) Text() string {
 	var text strings.Builder
 	_, _ = fmt.Fprintf(&text, "seed %d, %.1f s: %d programs, %d finished, %d failed; %d requests, %d repeats\n",
 		report.Seed, report.Seconds, report.Programs, report.Finished, report.Failed, report.Requests, report.Retries)
 	_, _ = fmt.Fprintf(&text, "promises: lost %d, mixed %d, twice %d, false refusals %d, held %d (unanswered %d, uncertain %d of %d unrepeatable)\n",
-		report.Lost, report.Mixed, report.Twice, report.FalseRefusals, report.Held, report.Unanswered, report.Uncertain, report.Unrepeatable)
+		report.Lost, report.Mixed, report.DuplicateRuns, report.FalseRefusals, report.HeldPrefixes, report.Unanswered, report.Uncertain, report.Unrepeatable)
 	_, _ = fmt.Fprintf(&text, "tokens: %d prompt (%d cached), %d generated\n", report.PromptTokens, report.CachedTokens, report.OutputTokens)
 	writeCounts(&text, "repeated after", report.Refusals)
 	writeCounts(&text, "failed with", report.Errors)
-	for _, broken := range report.Broken {
+	for _, broken := range report.BrokenPromises {
 		_, _ = fmt.Fprintf(&text, "broken: %s\n", broken)
 	}
 	for _, failure := range report.Failures {
@@ -192,7 +192,7 @@
 func (report MemberReport) write(table *tabwriter.Writer) {
 	report.Program.write(table, report.Name, "program")
 	report.FirstToken.write(table, report.Name, "first token")
-	report.Between.write(table, report.Name, "between tokens")
+	report.BetweenTokens.write(table, report.Name, "between tokens")
 	report.Chat.write(table, report.Name, "model call")
 	report.Tool.write(table, report.Name, "service call")
 }
--- a/bvload/system_test.go
+++ b/bvload/system_test.go
@@ -13,8 +13,8 @@
 	"balsamvalve.example/bvstandin"
 )
 
-// fakeSystem is the caller API in front of one engine and one service, with
-// every promise kept, but for the one that a test breaks.
+// fakeSystem is the caller API in front of one engine and one service. It keeps every
+// promise except those that a test disables.
 type fakeSystem struct {
 	engine  *bvstandin.Engine
 	service *bvstandin.Service
@@ -23,22 +23,22 @@
 	histories map[string][]json.RawMessage // by program
 	answers   map[string][]byte            // by request
 
-	forget bool // loses the oldest message of each history
-	cross  bool // appends to another program's history
-	twice  bool // runs service calls twice
-	lie    bool // says "not run" of service calls that ran
-	cut    bool // ends streams early, without [DONE], once per request
-	hold   bool // never releases caches
-	seen   map[string]bool
+	dropOldestMessage bool // drops the oldest message of each history
+	mixHistories      bool // adds another program's message to each history
+	runTwice          bool // runs service calls twice
+	denyRuns          bool // reports "not run" for service calls that ran
+	cutStreams        bool // ends the first stream of each request without [DONE]
+	neverRelease      bool // never releases caches
+	seenRequests      map[string]bool
 }
 
 func newFakeSystem(t *testing.T) (*fakeSystem, Config) {
 	system := &fakeSystem{
-		engine:    bvstandin.NewEngine(bvstandin.EngineConfig{Batch: bvmodel.Config{DecodeTokensPerSecond: 20_000, PrefillTokensPerSecond: 1e6}}),
-		service:   &bvstandin.Service{Serves: "any"},
-		histories: make(map[string][]json.RawMessage),
-		answers:   make(map[string][]byte),
-		seen:      make(map[string]bool),
+		engine:       bvstandin.NewEngine(bvstandin.EngineConfig{Batch: bvmodel.Config{DecodeTokensPerSecond: 20_000, PrefillTokensPerSecond: 1e6}}),
+		service:      &bvstandin.Service{Serves: "any"},
+		histories:    make(map[string][]json.RawMessage),
+		answers:      make(map[string][]byte),
+		seenRequests: make(map[string]bool),
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/chat/completions", system.chat)
@@ -51,15 +51,15 @@
 		return server.Listener.Addr().String()
 	}
 	return system, Config{
-		Addresses:   []string{address(mux)},
-		Members:     Members(map[string]string{Piran: "key-1", Brindley: "key-2"}),
-		Programs:    8,
-		Concurrency: 4,
-		Seed:        3,
-		Pauses:      -1,
-		Tries:       3,
-		Counters:    []string{address(system.service)},
-		Engines:     []string{address(system.engine)},
+		Addresses:        []string{address(mux)},
+		Members:          Members(map[string]string{Piran: "key-1", Brindley: "key-2"}),
+		Programs:         8,
+		Concurrency:      4,
+		Seed:             3,
+		PauseFactor:      -1,
+		MaxAttempts:      3,
+		ServiceAddresses: []string{address(system.service)},
+		EngineAddresses:  []string{address(system.engine)},
 	}
 }
 
@@ -74,14 +74,14 @@
 		return
 	}
 	program, id := request.Header.Get("Bv-Program"), request.Header.Get("Bv-Request")
-	answer := system.kept(id)
+	answer := system.storedAnswer(id)
 	if answer == nil {
 		prompt := body.Messages
 		if request.Header.Get("Bv-History") != "full" {
 			prompt = append(system.history(program), body.Messages...)
 		}
-		answer = system.ask(request.Header.Get("Authorization"), program, prompt, body.MaxTokens)
-		system.keep(program, id, prompt, answer)
+		answer = system.runEngine(request.Header.Get("Authorization"), program, prompt, body.MaxTokens)
+		system.storeAnswer(program, id, prompt, answer)
 	}
 	if !body.Stream {
 		_, _ = writer.Write(answer)
@@ -90,13 +90,13 @@
 	text, _, _ := completionText(answer)
 	encoded, _ := json.Marshal(text)
 	_, _ = writer.Write([]byte(`data: {"choices":[{"delta":{"content":` + string(encoded) + `}}]}` + "\n\n"))
-	if system.cut && system.first(id) {
+	if system.cutStreams && system.isFirst(id) {
 		return
 	}
 	_, _ = writer.Write([]byte("data: [DONE]\n\n"))
 }
 
-func (system *fakeSystem) ask(salt, program string, prompt []json.RawMessage, tokens int) []byte {
+func (system *fakeSystem) runEngine(salt, program string, prompt []json.RawMessage, tokens int) []byte {
 	encoded, _ := json.Marshal(map[string]any{"model": "m", "messages": prompt, "max_tokens": tokens})
 	recorder := httptest.NewRecorder()
 	request := httptest.NewRequest(http.MethodPost, "/v1/chat/completions", bytes.NewReader(encoded))
@@ -117,35 +117,35 @@
 	system.mutex.Lock()
 	defer system.mutex.Unlock()
 	history := system.histories[program]
-	if system.forget && len(history) > 0 {
+	if system.dropOldestMessage && len(history) > 0 {
 		history = history[1:]
 	}
-	if system.cross {
+	if system.mixHistories {
 		history = append(history[:len(history):len(history)], json.RawMessage(`{"role":"user","content":"a rival's"}`))
 	}
 	return append([]json.RawMessage{}, history...)
 }
 
-func (system *fakeSystem) kept(id string) []byte {
+func (system *fakeSystem) storedAnswer(id string) []byte {
 	system.mutex.Lock()
 	defer system.mutex.Unlock()
 	return system.answers[id]
 }
 
-func (system *fakeSystem) keep(program, id string, prompt []json.RawMessage, answer []byte) {
+func (system *fakeSystem) storeAnswer(program, id string, prompt []json.RawMessage, answer []byte) {
 	text, _, _ := completionText(answer)
-	said, _ := json.Marshal(message{"assistant", text})
+	reply, _ := json.Marshal(message{"assistant", text})
 	system.mutex.Lock()
 	defer system.mutex.Unlock()
-	system.histories[program] = append(prompt, said)
+	system.histories[program] = append(prompt, reply)
 	system.answers[id] = answer
 }
 
-func (system *fakeSystem) first(id string) bool {
+func (system *fakeSystem) isFirst(id string) bool {
 	system.mutex.Lock()
 	defer system.mutex.Unlock()
-	seen := system.seen[id]
-	system.seen[id] = true
+	seen := system.seenRequests[id]
+	system.seenRequests[id] = true
 	return !seen
 }
 
@@ -157,11 +157,11 @@
 		forwarded.Header = request.Header
 		system.service.ServeHTTP(to, forwarded)
 	}
-	if system.twice {
+	if system.runTwice {
 		invoke(httptest.NewRecorder())
 	}
-	if system.lie {
-		if system.first(request.Header.Get("Bv-Request")) {
+	if system.denyRuns {
+		if system.isFirst(request.Header.Get("Bv-Request")) {
 			invoke(httptest.NewRecorder())
 		}
 		writer.WriteHeader(http.StatusServiceUnavailable)
@@ -172,7 +172,7 @@
 }
 
 func (system *fakeSystem) end(writer http.ResponseWriter, request *http.Request) {
-	if !system.hold {
+	if !system.neverRelease {
 		body, _ := json.Marshal(map[string]string{"salt": memberOf(request.Header.Get("Authorization")), "prefix": request.PathValue("program")})
 		system.engine.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodPost, "/cache/release", bytes.NewReader(body)))
 	}
@@ -180,7 +180,7 @@
 }
 
 func (system *fakeSystem) fetch(writer http.ResponseWriter, request *http.Request) {
-	answer := system.kept(request.PathValue("request"))
+	answer := system.storedAnswer(request.PathValue("request"))
 	if answer == nil {
 		writer.WriteHeader(http.StatusNotFound)
 		_, _ = writer.Write([]byte(`{"error":{"code":"unknown_request","verdict":"not run"}}`))
--- a/bvstandin/chat.go
+++ b/bvstandin/chat.go
@@ -17,7 +17,7 @@
 const (
 	maxBodyBytes = 64 << 20
 	// heartbeatInterval is the time between two comments on a stream that waits for
-	// its next token. They let a reader distinguish a busy engine from a silent
+	// its next token. The comments let a reader distinguish a busy engine from a silent
 	// connection.
 	heartbeatInterval = time.Second
 )
--- a/bvstandin/engine.go
+++ b/bvstandin/engine.go
@@ -36,7 +36,7 @@
 	LoadLag      bvclock.Duration // age of the reports of GET /load
 	EventLag     bvclock.Duration // delay until an event appears in GET /events
 	EventGap     int              // every n-th cache event is never published; 0: none
-	OnCrash      func()           // called first at a crash; may exit the process, otherwise the engine restarts inside it
+	OnCrash      func()           // called at a crash; if it returns, the engine restarts inside the process
 }
 
 // EngineFaults are the faults that an Engine simulates; the zero value is none.
