--- a/bvload/load_test.go
+++ b/bvload/load_test.go
@@ -76,7 +76,7 @@
 }
 
 // Guards against accepting a cut stream as complete.
-func TestCutStreamIsAskedForAgain(t *testing.T) {
+func TestCutStreamIsRequestedAgain(t *testing.T) {
 	system, config := newFakeSystem(t)
 	system.cutStreams = true
 	report := run(t, config)
--- a/bvstandin/engine_test.go
+++ b/bvstandin/engine_test.go
@@ -186,7 +186,7 @@
 }
 
 // Guards against a stand-in whose crash affects only the poison request.
-func TestPoisonTakesTheWholeEngineDown(t *testing.T) {
+func TestPoisonRequestCrashesTheWholeEngine(t *testing.T) {
 	engine := newEngineServer(t, EngineConfig{Batch: bvmodel.Config{DecodeTokensPerSecond: 20}})
 	before := engine.Endpoint("").Incarnation
 	innocent := engine.send(http.MethodPost, "/v1/chat/completions",
@@ -208,7 +208,7 @@
 }
 
 // Guards against a request that starts after its cancellation.
-func TestCancelGoesBeforeItsRequest(t *testing.T) {
+func TestRequestAfterItsCancellationIsNotRun(t *testing.T) {
 	engine := newEngineServer(t, EngineConfig{})
 	engine.send(http.MethodDelete, "/v1/streams/s1", "", nil)
 	response := engine.send(http.MethodPost, "/v1/chat/completions", `{"model":"m","messages":[]}`, http.Header{bvendpoint.HeaderStream: {"s1"}})
