--- a/scripts/check-comments.sh
+++ b/scripts/check-comments.sh
@@ -19,3 +19,16 @@
   echo "$found"
   exit 1
 fi
+
+# Words of speech and figures of speech for state and messages, in product code and tests:
+# data is reported, received or recorded; requests are in flight, rejected, retried.
+words='\b(told|tells?|heard|hears?|said|says|under way|for ever|any more|turned away|comes? back|newcomers?|faith|crowd(s|ed)?|go(es)? quiet|lately|nobody|somebody|takes in|point of history)\b'
+# At most ten lines, the reason beside each.
+allowed=(
+  'ReportedCaps // told' # text of the enum, an argument of `fleet caps`
+)
+if found=$(grep -nE "//.*$words" $(git ls-files '*.go' | grep -vE '\.pb\.go$|_string\.go$') | grep -vF "$(printf '%s\n' "${allowed[@]}")"); then
+  echo "comments with figurative words:"
+  echo "$found"
+  exit 1
+fi
