--- a/bvcommand/demo.go
+++ b/bvcommand/demo.go
@@ -12,7 +12,7 @@
 	var seed uint64
 	command := &cobra.Command{
 		Use:   "demo",
-		Short: "Run the whole system in one process and check its guarantees",
+		Short: "Run the whole system in one process and check its promises",
 		Example: `  balsamvalve demo
   balsamvalve demo --seed 7`,
 		Args: noArguments,
@@ -27,7 +27,7 @@
 				return err
 			}
 			if !routed.AllPromisesHold() || !report.Kept() || report.Finished != report.Programs {
-				return errors.New("demo: a guarantee was broken")
+				return errors.New("demo: a promise was broken")
 			}
 			return nil
 		},
--- a/bvcommand/fleet_caps.go
+++ b/bvcommand/fleet_caps.go
@@ -30,8 +30,8 @@
 sizes, each with a usage cap. A surge of programs lasts for the middle third. Prints one
 line for each way to enforce the caps, with the requests that ran and that were refused:
 each host has a fixed part of each cap (split), hosts use the counts that they report to
-each other (told), they also ask an allocator near the cap (allocator), or they always
-ask it (central).`,
+each other (told), they also query an allocator near the cap (allocator), or they always
+query it (central).`,
 		Example: `  balsamvalve fleet caps --hosts 85
   balsamvalve fleet caps --hosts 295 --workspaces 600 --lag-ms 1200 --lost`,
 		Args: noArguments,
--- a/bvcommand/load.go
+++ b/bvcommand/load.go
@@ -18,8 +18,8 @@
 	"balsamvalve.example/bvload"
 )
 
-// errPromiseBroken is returned when a run has violated a guarantee to callers.
-var errPromiseBroken = errors.New("load: a guarantee was broken")
+// errPromiseBroken is returned when a run has broken a promise to callers.
+var errPromiseBroken = errors.New("load: a promise was broken")
 
 // loadFlags are the flags of the load command that are not fields of its config.
 type loadFlags struct {
@@ -34,7 +34,7 @@
 	var config bvload.Config
 	command := &cobra.Command{
 		Use:   "load",
-		Short: "Send agent programs to running daemons and check the guarantees to callers",
+		Short: "Send agent programs to running daemons and check the promises to callers",
 		Example: `  balsamvalve load --address 127.0.0.1:8080,127.0.0.1:8081 \
     --keys-file keys --programs 200 --concurrency 20`,
 		Args: noArguments,
@@ -91,7 +91,7 @@
 	set.IntVar(&config.Tries, "tries", 0, "maximum number of attempts of each request; 0: default")
 	set.Float64Var(&config.Pauses, "pauses", 0, "factor on all pauses; 0: factor 1, negative: no pauses")
 	set.StringSliceVar(&config.Counters, "service", nil, "addresses of stand-in services, queried for the number of runs of each request")
-	set.StringSliceVar(&config.Engines, "engine", nil, "addresses of stand-in engines, queried for the calls that they still hold at the end")
+	set.StringSliceVar(&config.Engines, "engine", nil, "addresses of stand-in engines, queried at the end for cached prefixes of ended programs")
 }
 
 func (flags *loadFlags) run(command *cobra.Command, config bvload.Config) error {
--- a/bvcommand/standin_site.go
+++ b/bvcommand/standin_site.go
@@ -38,7 +38,7 @@
 	}
 	set := command.Flags()
 	set.StringVar(&flags.keysFile, "keys-file", "", "callers' keys; or set "+keysVariable)
-	set.IntVar(&flags.config.Engines, "engines", 3, "number of engines")
+	set.IntVar(&flags.config.Engines, "engines", 3, "engines")
 	set.IntVar(&flags.config.Apps, "services", 2, "number of instances of a plain service")
 	set.Float64Var(&flags.rate, "rate", 0, "usage cap of each workspace in requests per second; 0: none")
 	set.Float64Var(&flags.burst, "burst", 0, "burst of requests above the rate")
--- a/bvdemo/demo.go
+++ b/bvdemo/demo.go
@@ -1,6 +1,6 @@
-// Package bvdemo runs the whole system inside one process on loopback: the
-// platform's stand-in, engines, services, three daemons, and both members'
-// programs, with the promises checked.
+// Package bvdemo runs the whole system in one process on loopback: a stand-in for
+// the platform, engines, services, three daemons and the programs of both members.
+// It checks the promises to callers.
 //
 // # Usage
 //
@@ -28,14 +28,14 @@
 	readyPoll    = 20 * time.Millisecond
 )
 
-// Config says how the demonstration is run. The zero value shows nothing.
+// Config configures the demonstration. The zero value writes no output.
 type Config struct {
-	Output io.Writer // takes progress and the table
-	Seed   uint64    // of the programs
+	Output io.Writer // receives progress and the report; nil: none
+	Seed   uint64    // of the random programs
 }
 
-// Run serves the programs and returns what was found. An error means that the
-// system did not come up.
+// Run runs the programs and returns the report of the run. An error means that the
+// system could not be started or the programs could not be run.
 func Run(ctx context.Context, config Config) (bvload.Report, error) {
 	if config.Output == nil {
 		config.Output = io.Discard
--- a/bvdemo/route.go
+++ b/bvdemo/route.go
@@ -25,8 +25,9 @@
 	rowBytes      = 64 << 10
 )
 
-// workspaces of the demonstration: most programs are ana's, and bor's usage cap is
-// below what bor's callers ask for. The keys open nothing but its own process.
+// workspaces are those of the demonstration: most programs belong to ana, and the usage
+// cap of bor is below the request rate of its callers. The keys are valid only in this
+// process.
 var workspaces = []bvemulator.Workspace{
 	{Name: "ana", Keys: []string{"demo-key-of-ana"}, Share: 3},
 	{Name: "bor", Keys: []string{"demo-key-of-bor"}, Rate: 12, Burst: 12},
@@ -40,8 +41,9 @@
 	waitGroup sync.WaitGroup
 }
 
-// RunRoute serves programs of workspaces with keys and a usage cap on an emulated
-// platform, and returns what was found. An error means that the hosts did not come up.
+// RunRoute runs programs of workspaces with keys and a usage cap on an emulated platform
+// and returns the report of the run. An error means that the platform or the hosts could
+// not be started.
 func RunRoute(ctx context.Context, config Config) (*bvemulator.Report, error) {
 	if config.Output == nil {
 		config.Output = io.Discard
@@ -110,7 +112,7 @@
 		return err
 	}
 	running.routers = append(running.routers, router)
-	running.waitGroup.Go(func() { _ = router.Run(ctx) }) // it ends when it is stopped
+	running.waitGroup.Go(func() { _ = router.Run(ctx) }) // returns when ctx is canceled
 	return nil
 }
 
--- a/bvdemo/route_test.go
+++ b/bvdemo/route_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a demonstration on the emulated platform that shows a broken promise.
+// Guards against a broken promise in the demonstration on the emulated platform.
 func TestRouteDemonstrationKeepsItsPromises(t *testing.T) {
 	report, err := RunRoute(t.Context(), Config{Seed: 1})
 	require.NoError(t, err)
--- a/bvdemo/system.go
+++ b/bvdemo/system.go
@@ -22,14 +22,14 @@
 	"balsamvalve.example/bvstandin"
 )
 
-// Keys of the demonstration. They open nothing but its own process.
+// Keys of the demonstration. They are valid only in its process.
 const (
 	piranKey    = "demo-piran-caller"
 	brindleyKey = "demo-brindley-caller"
 	keyLines    = "piran caller " + piranKey + "\nbrindley caller " + brindleyKey + "\n"
 )
 
-// system is everything that runs.
+// system is the running platform, endpoints and daemons.
 type system struct {
 	platform  string
 	engines   []string
@@ -121,7 +121,7 @@
 
 func (system *system) announce(ctx context.Context, endpoint func() bvplatform.Endpoint) {
 	announcer := &bvstandin.Announcer{Client: system.client(), Endpoint: endpoint}
-	_ = announcer.Announce(ctx) // listed before the daemons look; Run announces again
+	_ = announcer.Announce(ctx) // lists the endpoint before the daemons start; Run repeats it
 	system.waitGroup.Go(func() { announcer.Run(ctx) })
 }
 
@@ -175,14 +175,14 @@
 	})
 }
 
-// waitUntil waits until all hosts are ready.
+// waitUntil polls until ready returns true; it fails after readyTimeout.
 func waitUntil(ctx context.Context, ready func() bool) error {
 	limit, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for !ready() {
 		select {
 		case <-limit.Done():
-			return errors.New("demo: the hosts did not get ready")
+			return errors.New("demo: the hosts did not become ready in time")
 		case <-time.After(readyPoll):
 		}
 	}
@@ -197,7 +197,7 @@
 	return addresses
 }
 
-// stop ends the daemons, which finish what they have, and then the stand-ins.
+// stop stops the daemons, which finish their requests, and then the stand-ins.
 func (system *system) stop() {
 	system.cancel()
 	for _, daemon := range system.daemons {
--- a/bvmechanism/mechanism.go
+++ b/bvmechanism/mechanism.go
@@ -1,5 +1,5 @@
 // Package bvmechanism names the mechanisms that routing daemons use for decisions, so
-// that experiments can switch each of them off and measure its effect. No guarantee to
+// that experiments can switch each of them off and measure its effect. No promise to
 // callers depends on them. With a mechanism off, daemons decide as if it did not exist.
 //
 // # Usage
--- a/scripts/check-comments.sh
+++ b/scripts/check-comments.sh
@@ -1,17 +1,17 @@
 #!/usr/bin/env bash
-# Fails when a comment in product code holds a date, a seed, an issue number, a figure of
-# a run, or names a deployment or the users' bench.
+# Fails when a comment in product code contains a date, a seed, an issue number or the
+# figure of a run, or names a deployment or the users' bench.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 files=$(git ls-files '*.go' | grep -vE '_test\.go$|\.pb\.go$|_string\.go$')
 pattern='//.*(\b20[0-9][0-9]-[0-9][0-9]\b|\bissue [0-9#]|#[0-9]+\b|\bseed=?[ ]?[0-9]|fleetbench|\bbench\b|hanbit|tipton|obala|piran-hall|\bmeasured over\b|\bwas seen to\b|\bwere seen to\b)'
 if found=$(grep -nE "$pattern" $files); then
-  echo "comments that tell a story or name a deployment:"
+  echo "comments with dates, seeds, issue numbers, figures of runs or names of deployments:"
   echo "$found"
   exit 1
 fi
 
-# The head comment of a test has at most four lines: which failure it guards against and how it comes about.
+# The head comment of a test has at most four lines: the failure that it guards against and its cause.
 if found=$(awk 'FNR == 1 { lines = 0 }
   /^func Test[A-Za-z0-9_]*\(t \*testing\.T\)/ && lines > 4 { print FILENAME ":" FNR ": " $2 }
   { lines = /^\/\// ? lines + 1 : 0 }' $(git ls-files '*_test.go') | grep .); then
--- a/scripts/playcost/main.go
+++ b/scripts/playcost/main.go
@@ -1,5 +1,5 @@
-// Command playcost prints how much processor time the plays of journal entries took,
-// and marks those over three quarters of what a day may take.
+// Command playcost prints the processor time of the plays in journal entries and marks
+// those above three quarters of the limit for a day.
 //
 // # Usage
 //
@@ -13,10 +13,10 @@
 	"os"
 )
 
-// warnShare is the share of the limit from which on a play is marked.
+// warnShare is the share of the limit above which a play is marked.
 const warnShare = 0.75
 
-// entry is what is read of a journal entry.
+// entry holds the fields of a journal entry that are read.
 type entry struct {
 	ID   string `json:"id"`
 	Site string `json:"site"`
--- a/scripts/regression.sh
+++ b/scripts/regression.sh
@@ -1,15 +1,15 @@
 #!/usr/bin/env bash
-# Plays the users' deployments before a landing: the standard days, days of other luck
-# with those of deploy/days, and an incident of each; a sweep of one deployment of each
-# kind. Output goes to out/regression; the end shows a summary, with the processor time
-# of each play, marked above three quarters of what a day may take. It takes hours: run
-# it in the background.
+# Plays the users' deployments before a landing: the standard days, days with other
+# random events together with those of deploy/days, and an incident of each; a sweep of
+# one deployment of each kind. Output goes to out/regression, followed by a summary with
+# the processor time of each play, marked above three quarters of the limit for a day. It
+# takes hours: run it in the background.
 #
 #   scripts/regression.sh "the reason, for the journal" [NAME...] &
 #
-# Without the users' kit (in CI, for one) it says so and plays nothing. KIT names the
-# kit's folder, VERBS what is played (score, hunt, incident, sweep), and DAY_LIMIT the
-# seconds of processor time that a day may take.
+# Without the users' kit, for example in CI, it prints a message and plays nothing. KIT is
+# the folder of the kit, VERBS are the kinds of play (score, hunt, incident, sweep), and
+# DAY_LIMIT is the limit of processor time for a day, in seconds.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 why=${1:?usage: scripts/regression.sh WHY [NAME...]}
@@ -19,12 +19,13 @@
 limit=${DAY_LIMIT:-600}
 bench=$kit/more/bench-d17393/bin/fleetbench
 if [ ! -x "$bench" ]; then
-  echo "regression: the users' kit is not at $kit; nothing is played"
+  echo "regression: the users' kit is not at $kit; nothing to run"
   exit 0
 fi
 
-# Site file, days to hunt, plays at once: few where a play has hundreds of processes.
-# The whole fleet is not among them: its days are played one at a time, alone.
+# Site file, number of days to hunt, concurrent plays: few where a play has hundreds of
+# processes. The whole fleet is not included: its days are played one at a time, with
+# nothing else running.
 sites=(
   "demands/lsfaa-booking-grown 8 4"
   "demands/sfap-balsam-grown 8 4"
@@ -37,7 +38,7 @@
   "grown/bcf-tipton-grown 8 2"
 )
 
-# Deployments that are swept: one of each kind.
+# Deployments of the sweep: one of each kind.
 swept=" obala-surf-now-grown hanbit-connect bcf-tipton lsfaa-booking-grown sfap-balsam-grown "
 
 out=out/regression
@@ -58,7 +59,7 @@
   [ "$verb" = sweep ] && [[ "$swept" != *" $(basename "$site") "* ]] && return 0
   [ "$verb" = hunt ] && options=(--days "$days")
   "$bench" "$verb" "$kit/$site.toml" "${options[@]}" --jobs "$jobs" --why "$why" >"$out/$(basename "$site").$verb.txt" 2>&1 ||
-    echo "regression: $verb of $(basename "$site") ended with code $?"
+    echo "regression: $verb of $(basename "$site") exited with code $?"
 }
 
 for line in "${sites[@]}"; do
